--- a/src/appletally/appletally.h
+++ b/src/appletally/appletally.h
@@ -77,8 +77,8 @@
 using policy::ClaimRound; // at most once: may this attempt of a keyed request run?
 using policy::Collapse; // identical reads of one caller share a run
 using policy::finished; // a run ended: who starts now, who is refused now
-using policy::hedgeAfter;
 using policy::HedgeBudget; // a second copy of a late read
+using policy::hedgeDelay;
 using policy::LocalVerdict; // the node beside a bad version stops it by itself
 using policy::mayRetry;
 using policy::offer; // a request comes: Run, Wait or Refuse with when to come back
--- a/src/appletally/node/ingress.cpp
+++ b/src/appletally/node/ingress.cpp
@@ -48,7 +48,7 @@
         policy::Router& router = m_routers[name];
         router.zone = m_settings.zone;
         setShares(service);
-        m_retries[name].perFirstTry = service.retryBudget;
+        m_retries[name].perFirstAttempt = service.retryBudget;
     }
     std::vector<config::Endpoint> all;
     for (const auto& [host, it] : m_endpoints)
@@ -125,7 +125,7 @@
 void Ingress::loadTold(const base::HostId& host, const policy::Load& load)
 {
     for (auto& [name, router] : m_routers)
-        policy::loadTold(router, host, load, base::steadyNow());
+        policy::loadReported(router, host, load, base::steadyNow());
 }
 
 void Ingress::drain() { m_listener.setDraining(true); }
--- a/src/appletally/node/ingress.h
+++ b/src/appletally/node/ingress.h
@@ -137,9 +137,9 @@
     std::map<base::HostId, config::Endpoint> m_endpoints;
     std::map<base::ServiceName, policy::RetryBudget> m_retries;
     std::map<base::ServiceName, policy::HedgeBudget> m_hedges;
-    std::map<base::RouteName, policy::SlowAnswer> m_slowAnswers;
+    std::map<base::RouteName, policy::LatencyEstimate> m_slowAnswers;
     std::map<std::pair<base::RouteName, base::UpstreamVersion>, policy::VersionView> m_views;
-    std::map<base::RouteName, policy::SplitTurns> m_splitTurns;
+    std::map<base::RouteName, policy::SplitCredits> m_splitTurns;
     std::map<base::RouteName, base::Duration> m_longestAsked; // by callers, of routes in force
     policy::Collapse m_collapse;
     std::map<uint64_t, std::unique_ptr<Active>> m_calls;
--- a/src/appletally/node/ingress_answer.cpp
+++ b/src/appletally/node/ingress_answer.cpp
@@ -226,13 +226,13 @@
         return forget(it);
     }
     noteRefusal(it, error);
-    policy::FailedTry failed;
+    policy::FailedAttempt failed;
     failed.idempotent = it.route->idempotent;
     failed.code = error.code;
-    failed.tries = it.tries;
+    failed.attempts = it.tries;
     failed.deadline = it.call.deadline;
     failed.expected = it.route->expected;
-    failed.mostTries = it.route->mostAttempts;
+    failed.maxAttempts = it.route->mostAttempts;
     const auto decision = policy::mayRetry(m_retries[it.call.service], failed, base::steadyNow(), inner::randomNumber());
     if (!decision.retry) {
         base::Error last = error;
@@ -274,7 +274,7 @@
     const bool notRun = base::info(error.code).notRun;
     const auto wanting = it.waitsForRun ? std::vector<policy::RequestId> {} : policy::ended(m_collapse, { it.id });
     if (it.waitsForRun)
-        policy::left(m_collapse, { it.id });
+        policy::leave(m_collapse, { it.id });
     for (const policy::RequestId& id : wanting) {
         Active* other = id.value == it.id ? nullptr : find(id.value);
         if (other && notRun)
@@ -348,7 +348,7 @@
 void Ingress::forget(Active& it)
 {
     // A request that leaves by another way than its answer must not stay as a run that others wait for.
-    policy::left(m_collapse, { it.id });
+    policy::leave(m_collapse, { it.id });
     m_calls.erase(it.id);
 }
 
--- a/src/appletally/node/ingress_request.cpp
+++ b/src/appletally/node/ingress_request.cpp
@@ -181,8 +181,8 @@
     if (!pick)
         return onNobodyLeft(it);
     if (it.tries == 0) {
-        policy::earn(m_retries[it.call.service]);
-        policy::earn(m_hedges[it.call.service]);
+        policy::accrue(m_retries[it.call.service]);
+        policy::accrue(m_hedges[it.call.service]);
         armHedge(it);
     }
     startTry(it, *pick, false);
@@ -304,7 +304,7 @@
 {
     if (!m_settings.features.hedges)
         return;
-    const auto after = policy::hedgeAfter(it.route->idempotent, m_slowAnswers[it.route->name], it.call.deadline, base::steadyNow());
+    const auto after = policy::hedgeDelay(it.route->idempotent, m_slowAnswers[it.route->name], it.call.deadline, base::steadyNow());
     if (!after)
         return;
     const timeval wait = base::toTimeval(*after);
@@ -319,7 +319,7 @@
     const auto pick = policy::pick(m_routers[it.call.service], { it.route->name, it.tried, it.underWay[0]->pick.version, false }, base::steadyNow(), inner::randomNumber());
     if (!pick)
         return;
-    if (!policy::takeHedge(m_hedges[it.call.service])) {
+    if (!policy::acquireHedge(m_hedges[it.call.service])) {
         policy::answered(m_routers[it.call.service], { pick->host, it.route->name, AnswerKind::Cancelled, {}, {} }, base::steadyNow());
         return;
     }
@@ -348,10 +348,10 @@
     ++m_counts.gone;
     base::logRequest(base::Event::RequestCancelled, it.name, { { "route", it.route->name.text }, { "after_ms", (base::steadyNow() - it.began).ms }, { "tries", it.tries } });
     it.exchange = nullptr;
-    const bool shared = m_collapse.byRequest.contains({ it.id });
+    const bool shared = m_collapse.keyByRequest.contains({ it.id });
     if (!shared || it.streaming)
         return abandon(it);
-    const auto run = policy::left(m_collapse, { it.id });
+    const auto run = policy::leave(m_collapse, { it.id });
     const bool isRun = !it.waitsForRun;
     if (run) {
         if (Active* unwanted = find(run->value))
--- a/src/appletally/node/owner.cpp
+++ b/src/appletally/node/owner.cpp
@@ -28,7 +28,7 @@
     , m_claims(&claims)
     , m_events(std::move(events))
 {
-    m_admission.parts = m_settings.admission;
+    m_admission.options = m_settings.admission;
     m_tick = event_new(
         loop, -1, EV_PERSIST, [](evutil_socket_t, short, void* self) { static_cast<Owner*>(self)->onTick(); }, this);
     setTick(false);
--- a/src/appletally/node/owner.h
+++ b/src/appletally/node/owner.h
@@ -42,7 +42,7 @@
     base::Incarnation incarnation;
     Dialect dialect;
     CallFeatures features;
-    policy::AdmissionParts admission;
+    policy::AdmissionOptions admission;
     base::Duration announcementLife;
 };
 
@@ -95,7 +95,7 @@
     void leaveSlot(Running&, base::Error); // without having run
     void send(Running&); // to the upstream
     void endClaim(Running&, const std::optional<base::Error>&);
-    void follow(const policy::Followup&);
+    void follow(const policy::AdmissionChanges&);
     void onHead(Running&, const http::AnswerHead&);
     void onBody(Running&, evbuffer*);
     void onEnd(Running&, const http::AnswerEnd&);
--- a/src/appletally/node/owner_run.cpp
+++ b/src/appletally/node/owner_run.cpp
@@ -54,22 +54,22 @@
     const Time now = base::steadyNow();
     const policy::Arrival arrival { { it.id }, it.call.caller, it.call.route, it.call.priority, it.call.expected, it.call.deadline, it.call.internal, it.call.fullWorthBy };
     const policy::Decision decision = policy::offer(m_admission, arrival, now);
-    if (decision.verdict == policy::Verdict::Run)
+    if (decision.action == policy::AdmissionAction::Run)
         run(it);
-    else if (decision.verdict == policy::Verdict::Wait)
+    else if (decision.action == policy::AdmissionAction::Wait)
         logQueued(it);
     else
         refuse(it, toError(decision.refusal));
     follow({ {}, decision.displaced });
 }
 
-void Owner::follow(const policy::Followup& followup)
+void Owner::follow(const policy::AdmissionChanges& changes)
 {
-    for (const policy::Refusal& refusal : followup.refused) {
+    for (const policy::Refusal& refusal : changes.refused) {
         if (Running* it = find(refusal.id.value))
             refuse(*it, toError(refusal));
     }
-    for (const policy::RequestId& id : followup.start) {
+    for (const policy::RequestId& id : changes.start) {
         if (Running* it = find(id.value))
             run(*it);
     }
@@ -143,16 +143,16 @@
             it.handler.body(buf);
         evbuffer_free(buf);
     }
-    const auto followup = policy::cancel(m_admission, { id }, base::steadyNow());
+    const auto changes = policy::cancel(m_admission, { id }, base::steadyNow());
     finish(it, {});
-    follow(followup);
+    follow(changes);
 }
 
 void Owner::leaveSlot(Running& it, base::Error error)
 {
-    const auto followup = policy::cancel(m_admission, { it.id }, base::steadyNow());
+    const auto changes = policy::cancel(m_admission, { it.id }, base::steadyNow());
     refuse(it, std::move(error));
-    follow(followup);
+    follow(changes);
 }
 
 http::UpstreamRequest Owner::requestFor(Running& it, Duration left) const
@@ -294,9 +294,9 @@
         how = RunEnd::Failed;
     record(it, how);
     endClaim(it, error);
-    const auto followup = policy::finished(m_admission, { it.id }, how, Duration { it.ranMicros / 1000 }, base::steadyNow());
+    const auto changes = policy::finished(m_admission, { it.id }, how, Duration { it.ranMicros / 1000 }, base::steadyNow());
     finish(it, std::move(error));
-    follow(followup);
+    follow(changes);
 }
 
 // Only a run that is proven not to have begun gives its key free; after anything else a resend must not run again.
@@ -322,9 +322,9 @@
     it.ranMicros = base::steadyMicros() - it.startedMicros;
     record(it, RunEnd::Failed);
     endClaim(it, error);
-    const auto followup = policy::finished(m_admission, { it.id }, RunEnd::Failed, Duration { it.ranMicros / 1000 }, base::steadyNow());
+    const auto changes = policy::finished(m_admission, { it.id }, RunEnd::Failed, Duration { it.ranMicros / 1000 }, base::steadyNow());
     finish(it, std::move(error));
-    follow(followup);
+    follow(changes);
 }
 
 void Owner::refuse(Running& it, base::Error error)
--- a/src/appletally/node/settings.h
+++ b/src/appletally/node/settings.h
@@ -26,7 +26,7 @@
     http::ListenerLimits limits;
     Dialect dialect;
     CallFeatures features;
-    policy::AdmissionParts admission;
+    policy::AdmissionOptions admission;
     base::ServiceName service; // of the upstream beside this node; empty: only its announcements say
     base::Duration announcementLife { 3000 }; // an upstream renews its announcement every second; three missed ones mean that it is gone
     base::Duration drainTime { 2000 }; // after SIGTERM, goes on taking what still arrives while callers move on
--- a/src/appletally/node/wire.cpp
+++ b/src/appletally/node/wire.cpp
@@ -121,7 +121,7 @@
     out.setSlots(static_cast<uint32_t>(std::max(in.slots, 0)));
     out.setDraining(in.draining);
     out.setWaitMs(in.wait.ms);
-    out.setWarmPerMille(in.warm.value);
+    out.setWarmPerMille(in.slowStartProgress.value);
 }
 
 policy::Load readLoad(wire::Load::Reader in)
@@ -132,7 +132,7 @@
     out.slots = static_cast<int>(in.getSlots());
     out.draining = in.getDraining();
     out.wait = { in.getWaitMs() };
-    out.warm = { in.getWarmPerMille() };
+    out.slowStartProgress = { in.getWarmPerMille() };
     return out;
 }
 
--- a/src/appletally/policy/admission.cpp
+++ b/src/appletally/policy/admission.cpp
@@ -13,22 +13,22 @@
     using Waiting = Admission::Waiting;
 
     // A job ten times as long as the usual request (20 ms). One such job costs those behind it as much as ten others.
-    constexpr base::Duration longRun { 200 };
-    constexpr double longShare = 0.3; // of the slots, while short requests come: 3 of 10, 2 of 6
-    constexpr base::Duration shortsRemembered { 1000 }; // long jobs spread out only after this time without short ones
+    constexpr base::Duration minLongRun { 200 };
+    constexpr double longJobShare = 0.3; // of the slots, while short requests come: 3 of 10, 2 of 6
+    constexpr base::Duration shortRequestMemory { 1000 }; // long jobs spread out only after this time without short ones
 
     // A lower class's share of the slots while higher ones would take them all. Three such floors leave commands 70%
     // of the slots; one slot of ten still moves an archive of half a second twice a second.
-    constexpr double floorShare = 0.1;
+    constexpr double minShare = 0.1;
 
     // How much of the time left a request may plan to wait. Estimates are means over few runs, so a queue that planned
     // with all of it would refuse late, or answer late, each time that the runs turn out longer.
-    constexpr double waitShare = 0.35;
+    constexpr double maxWaitShare = 0.35;
 
     // Requests that may wait in one class: twice the connections that one upstream takes, 0.4 s of usual runs at 10
     // slots. It bounds the node's memory and the cost of going through the queue. Each class has its own, or a queue
     // full of reads would keep every archive out.
-    constexpr size_t mostWaiting = 200;
+    constexpr size_t maxWaiting = 200;
 
     // How many usual callers another service stands for: it asks for many people, yet must not push them out.
     constexpr double internalWeight = 4;
@@ -37,22 +37,22 @@
     // come in surges; let in on their mean, some reads are refused only when half of their callers' time is over.
     constexpr double surgeMargin = 1.5;
 
-    constexpr base::Duration usedWindow { 500 }; // of the moving mean; half a second of 10 slots is 250 usual runs
-    constexpr base::Duration leastRetryAfter { 20 };
-    constexpr base::Duration mostRetryAfter { 15'000 }; // beyond it, what is known now says nothing
+    constexpr base::Duration averagingWindow { 500 }; // of the moving mean; half a second of 10 slots is 250 usual runs
+    constexpr base::Duration minRetryAfter { 20 };
+    constexpr base::Duration maxRetryAfter { 15'000 }; // beyond it, what is known now says nothing
 
     // Slot time set aside for each refused one that is told to come back, in its own runs: they get a third of the slots,
     // since those who come for the first time need half of them, as planned for, and a full queue drains slowly.
-    constexpr int64_t promisedRuns = 3;
+    constexpr int64_t runsPerRetry = 3;
 
     // The latest that a caller is told to come back, as a part of the time until its run must begin: the rest is for its way
     // and for waiting for a slot.
-    constexpr double backShare = 0.8;
-    constexpr base::Duration idleTick { 1000 };
+    constexpr double retryDelayShare = 0.8;
+    constexpr base::Duration idleTickInterval { 1000 };
 
     size_t classOf(const Admission& it, const Arrival& arrival)
     {
-        return it.parts.classes ? static_cast<size_t>(arrival.priority) : 0;
+        return it.options.classes ? static_cast<size_t>(arrival.priority) : 0;
     }
 
     int waitingCount(const Admission& it)
@@ -63,9 +63,9 @@
         return static_cast<int>(count);
     }
 
-    bool isLong(base::Duration run) { return run >= longRun; }
+    bool isLong(base::Duration run) { return run >= minLongRun; }
 
-    base::PerMille warmth(const Admission& it, base::Time now)
+    base::PerMille slowStartProgressAt(const Admission& it, base::Time now)
     {
         const int64_t passed = std::clamp<int64_t>((now - it.readySince).ms, 0, slowStart.ms);
         return { static_cast<int32_t>(passed * 1000 / slowStart.ms) };
@@ -82,10 +82,10 @@
     int longSlots(const Admission& it, base::Time now)
     {
         const int limit = it.slots.limit;
-        if (!it.parts.longJobsBounded)
+        if (!it.options.limitLongJobs)
             return limit;
-        const int part = std::max(1, static_cast<int>(std::ceil(limit * longShare)));
-        const bool shortsCome = now - it.lastShort < shortsRemembered;
+        const int part = std::max(1, static_cast<int>(std::ceil(limit * longJobShare)));
+        const bool shortsCome = now - it.lastShortArrival < shortRequestMemory;
         return shortsCome ? part : std::max(1, limit - part);
     }
 
@@ -97,24 +97,24 @@
     }
 
     // Brings the moving means and the floors up to now.
-    void count(Admission& it, base::Time now)
+    void updateAverages(Admission& it, base::Time now)
     {
-        const auto passed = static_cast<double>((now - it.countedTo).ms);
+        const auto passed = static_cast<double>((now - it.accountedUntil).ms);
         if (passed <= 0)
             return;
-        it.countedTo = now;
+        it.accountedUntil = now;
         std::array<double, config::priorityCount> held {};
         for (const auto& [id, running] : it.running)
             held[classOf(it, running.arrival)] += 1;
-        const double weight = 1 - std::exp(-passed / static_cast<double>(usedWindow.ms));
+        const double weight = 1 - std::exp(-passed / static_cast<double>(averagingWindow.ms));
         for (size_t n = 0; n < it.classes.size(); ++n) {
             Class& each = it.classes[n];
-            each.used += (held[n] - each.used) * weight;
-            each.overtaken -= each.overtaken * weight;
+            each.recentSlots += (held[n] - each.recentSlots) * weight;
+            each.recentOvertaking -= each.recentOvertaking * weight;
             if (each.queue.empty())
-                each.owed = 0;
+                each.minShareDeficit = 0;
             else
-                each.owed = std::min(each.owed + passed * floorShare * it.slots.limit, static_cast<double>(each.queue.front().run.ms));
+                each.minShareDeficit = std::min(each.minShareDeficit + passed * minShare * it.slots.limit, static_cast<double>(each.queue.front().run.ms));
         }
     }
 
@@ -122,9 +122,9 @@
     struct Forecast {
         double slots = 1; // for short requests
         double longSlots = 1;
-        double residual = 0; // until the next slot comes free
-        double higherUsed = 0; // slots that the classes above hold
-        double ahead = 0; // slot-milliseconds of all that start earlier
+        double untilSlotFree = 0; // until the next slot comes free
+        double higherClassSlots = 0; // slots that the classes above hold
+        double workAhead = 0; // slot-milliseconds of all that start earlier
         double longAhead = 0;
         double aheadInClass = 0;
     };
@@ -139,29 +139,29 @@
         for (const auto& [id, running] : it.running)
             left += static_cast<double>(usualRun(it.runs, running.arrival.route, running.arrival.expected).ms);
         if (static_cast<int>(it.running.size()) >= it.slots.limit)
-            forecast.residual = left / static_cast<double>(it.running.size() * it.running.size());
+            forecast.untilSlotFree = left / static_cast<double>(it.running.size() * it.running.size());
         return forecast;
     }
 
     // Milliseconds until a request of class `n` starts that has the forecast's work ahead of it. It goes by the rate
     // that the higher classes leave, or by its floor, whichever is sooner.
-    double waitAt(const Admission& it, const Forecast& forecast, size_t n, base::Duration run)
+    double estimatedWait(const Admission& it, const Forecast& forecast, size_t n, base::Duration run)
     {
-        const double left = forecast.slots - forecast.higherUsed;
-        double wait = forecast.residual + (left > 0.5 ? forecast.ahead / left : std::numeric_limits<double>::max() / 4);
+        const double left = forecast.slots - forecast.higherClassSlots;
+        double wait = forecast.untilSlotFree + (left > 0.5 ? forecast.workAhead / left : std::numeric_limits<double>::max() / 4);
         if (n > 0) {
-            const double owed = forecast.aheadInClass + static_cast<double>(run.ms) - it.classes[n].owed;
-            wait = std::min(wait, forecast.residual + std::max(0.0, owed) / (floorShare * it.slots.limit));
+            const double minShareDeficit = forecast.aheadInClass + static_cast<double>(run.ms) - it.classes[n].minShareDeficit;
+            wait = std::min(wait, forecast.untilSlotFree + std::max(0.0, minShareDeficit) / (minShare * it.slots.limit));
         }
         if (isLong(run))
             wait = std::max(wait, forecast.longAhead / forecast.longSlots);
         return wait;
     }
 
-    void passOver(Forecast& forecast, base::Duration run)
+    void addWork(Forecast& forecast, base::Duration run)
     {
         const auto work = static_cast<double>(run.ms);
-        forecast.ahead += work;
+        forecast.workAhead += work;
         forecast.aheadInClass += work;
         if (isLong(run))
             forecast.longAhead += work;
@@ -171,7 +171,7 @@
     {
         forecast.aheadInClass = 0;
         if (n > 0)
-            forecast.higherUsed += it.classes[n - 1].used;
+            forecast.higherClassSlots += it.classes[n - 1].recentSlots;
     }
 
     base::Duration rounded(double ms)
@@ -181,35 +181,35 @@
 
     // When a refused one should come back: when there is room, and after those that were told so before it. Without
     // that second part all that a burst refused would come back together as the next burst.
-    base::Duration promise(Admission& it, const Waiting& refused, base::Duration wait, base::Duration allowed, base::Time now)
+    base::Duration scheduleRetry(Admission& it, const Waiting& refused, base::Duration wait, base::Duration allowed, base::Time now)
     {
-        const base::Time room = now + std::max(wait - allowed, leastRetryAfter);
-        const base::Duration each { std::max<int64_t>(1, promisedRuns * refused.run.ms / it.slots.limit) };
-        it.promisedTo = std::max(it.promisedTo + each, room);
-        if (it.promisedTo - now > mostRetryAfter) // start again in the second half: still spread, still bounded
-            it.promisedTo = std::max(room, now + mostRetryAfter / 2);
-        return std::min(it.promisedTo - now, mostRetryAfter);
+        const base::Time room = now + std::max(wait - allowed, minRetryAfter);
+        const base::Duration each { std::max<int64_t>(1, runsPerRetry * refused.run.ms / it.slots.limit) };
+        it.retriesScheduledUntil = std::max(it.retriesScheduledUntil + each, room);
+        if (it.retriesScheduledUntil - now > maxRetryAfter) // start again in the second half: still spread, still bounded
+            it.retriesScheduledUntil = std::max(room, now + maxRetryAfter / 2);
+        return std::min(it.retriesScheduledUntil - now, maxRetryAfter);
     }
 
     // Where there will be room only when the caller is gone, it comes back while its answer is still worth most: some slot may
     // be free, and later its answer is worth little at best. These are spread over the second half of that time, or all that a
     // burst refused would come back together.
-    base::Duration inTimeFor(const Admission& it, const Waiting& refused, base::Duration promised, base::Time now)
+    base::Duration retryAfterFor(const Admission& it, const Waiting& refused, base::Duration scheduled, base::Time now)
     {
-        const bool roomInTime = now + promised + refused.run <= refused.arrival.deadline;
-        if (!it.parts.backInTime || !refused.arrival.fullWorthBy || roomInTime)
-            return promised;
-        const base::Duration slack = *refused.arrival.fullWorthBy - now - refused.run;
-        const auto latest = static_cast<int64_t>(static_cast<double>(slack.ms) * backShare);
-        if (latest < 2 * leastRetryAfter.ms)
-            return promised;
-        return { latest / 2 + promised.ms % (latest / 2) };
+        const bool roomInTime = now + scheduled + refused.run <= refused.arrival.deadline;
+        if (!it.options.retryWithinTarget || !refused.arrival.targetDeadline || roomInTime)
+            return scheduled;
+        const base::Duration slack = *refused.arrival.targetDeadline - now - refused.run;
+        const auto latest = static_cast<int64_t>(static_cast<double>(slack.ms) * retryDelayShare);
+        if (latest < 2 * minRetryAfter.ms)
+            return scheduled;
+        return { latest / 2 + scheduled.ms % (latest / 2) };
     }
 
     Refusal refuse(Admission& it, const Waiting& waiting, base::Duration wait, base::Duration allowed, base::Time now)
     {
-        const base::Duration promised = promise(it, waiting, wait, allowed, now);
-        return { waiting.arrival.id, base::Code::Overloaded, inTimeFor(it, waiting, promised, now) };
+        const base::Duration scheduled = scheduleRetry(it, waiting, wait, allowed, now);
+        return { waiting.arrival.id, base::Code::Overloaded, retryAfterFor(it, waiting, scheduled, now) };
     }
 
     bool hasWaiting(const Class& each, const base::CallerId& caller)
@@ -218,19 +218,19 @@
     }
 
     // Takes one out that will not run.
-    void dropAt(Class& each, size_t place)
+    void removeWaiting(Class& each, size_t place)
     {
         const Waiting gone = each.queue[place];
         each.queue.erase(each.queue.begin() + static_cast<std::ptrdiff_t>(place));
-        giveBack(each.order, gone.arrival.caller, gone.start, !hasWaiting(each, gone.arrival.caller));
+        release(each.order, gone.arrival.caller, gone.start, !hasWaiting(each, gone.arrival.caller));
         if (each.queue.empty())
-            forgetAll(each.order);
+            reset(each.order);
     }
 
     // Whether its answer can come while it is worth most, started now. Where nobody said until when, any answer is.
     bool isTimely(const Admission& it, const Waiting& waiting, base::Time now)
     {
-        return !it.parts.timelyFirst || !waiting.arrival.fullWorthBy || now + waiting.run <= *waiting.arrival.fullWorthBy;
+        return !it.options.prioritizeTimely || !waiting.arrival.targetDeadline || now + waiting.run <= *waiting.arrival.targetDeadline;
     }
 
     // Places of the queue in the order in which they start.
@@ -248,28 +248,28 @@
 
     // Refuses all whose start is forecast too late. They could wait on and hope, but their callers would learn it when
     // it is too late to do anything else.
-    std::vector<Refusal> refuseHopeless(Admission& it, base::Time now)
+    std::vector<Refusal> refuseInfeasible(Admission& it, base::Time now)
     {
         std::vector<Refusal> refused;
         Forecast forecast = forecastFor(it, now);
         for (size_t n = 0; n < it.classes.size(); ++n) {
             enterClass(it, forecast, n);
             Class& each = it.classes[n];
-            std::vector<size_t> hopeless;
+            std::vector<size_t> infeasible;
             for (const size_t place : startOrder(it, each, now)) {
                 const Waiting& waiting = each.queue[place];
-                const base::Duration wait = rounded(waitAt(it, forecast, n, waiting.run));
+                const base::Duration wait = rounded(estimatedWait(it, forecast, n, waiting.run));
                 const base::Duration slack = waiting.arrival.deadline - now - waiting.run;
                 if (wait <= slack) {
-                    passOver(forecast, waiting.run);
+                    addWork(forecast, waiting.run);
                     continue;
                 }
                 refused.push_back(refuse(it, waiting, wait, slack, now));
-                hopeless.push_back(place);
+                infeasible.push_back(place);
             }
-            std::sort(hopeless.rbegin(), hopeless.rend());
-            for (const size_t place : hopeless)
-                dropAt(each, place);
+            std::sort(infeasible.rbegin(), infeasible.rend());
+            for (const size_t place : infeasible)
+                removeWaiting(each, place);
         }
         return refused;
     }
@@ -280,7 +280,7 @@
         if (each.queue.back().start <= start)
             return std::nullopt;
         const Waiting last = each.queue.back();
-        dropAt(each, each.queue.size() - 1);
+        removeWaiting(each, each.queue.size() - 1);
         return refuse(it, last, {}, {}, now);
     }
 
@@ -293,7 +293,7 @@
     }
 
     struct Next {
-        size_t of; // class
+        size_t classIndex;
         size_t place;
     };
 
@@ -303,7 +303,7 @@
         for (size_t n = it.classes.size(); n-- > 1;) {
             const Class& each = it.classes[n];
             const std::optional<size_t> place = startable(it, each, now);
-            if (place && each.owed >= static_cast<double>(each.queue[*place].run.ms))
+            if (place && each.minShareDeficit >= static_cast<double>(each.queue[*place].run.ms))
                 return Next { n, *place };
         }
         for (size_t n = 0; n < it.classes.size(); ++n)
@@ -314,28 +314,28 @@
 
     void run(Admission& it, Class& each, const Waiting& waiting, base::Time now)
     {
-        served(each.order, waiting.start);
-        each.owed = std::max(0.0, each.owed - static_cast<double>(waiting.run.ms));
+        advance(each.order, waiting.start);
+        each.minShareDeficit = std::max(0.0, each.minShareDeficit - static_cast<double>(waiting.run.ms));
         it.running[waiting.arrival.id] = { waiting.arrival, now, isLong(waiting.run), false };
     }
 
-    Followup proceed(Admission& it, base::Time now)
+    AdmissionChanges startWaiting(Admission& it, base::Time now)
     {
-        Followup followup;
-        followup.refused = refuseHopeless(it, now);
+        AdmissionChanges changes;
+        changes.refused = refuseInfeasible(it, now);
         while (const std::optional<Next> next = nextToStart(it, now)) {
-            Class& each = it.classes[next->of];
+            Class& each = it.classes[next->classIndex];
             const Waiting waiting = each.queue[next->place];
             each.queue.erase(each.queue.begin() + static_cast<std::ptrdiff_t>(next->place));
             run(it, each, waiting, now);
             if (each.queue.empty())
-                forgetAll(each.order);
-            followup.start.push_back(waiting.arrival.id);
+                reset(each.order);
+            changes.start.push_back(waiting.arrival.id);
         }
-        return followup;
+        return changes;
     }
 
-    size_t placeOf(const Class& each, double start)
+    size_t insertPositionOf(const Class& each, double start)
     {
         const auto behind = std::upper_bound(each.queue.begin(), each.queue.end(), start,
             [](double value, const Waiting& other) { return value < other.start; });
@@ -343,38 +343,38 @@
     }
 
     // How many of its class start before a newcomer that stands at `place`.
-    size_t aheadOf(const Admission& it, const Class& each, const Waiting& fresh, size_t place, base::Time now)
+    size_t countAheadOf(const Admission& it, const Class& each, const Waiting& fresh, size_t place, base::Time now)
     {
         const bool timely = isTimely(it, fresh, now);
-        size_t ahead = 0;
+        size_t workAhead = 0;
         for (size_t at = 0; at < each.queue.size(); ++at) {
             const bool other = isTimely(it, each.queue[at], now);
-            ahead += (other == timely ? at < place : other) ? 1 : 0;
+            workAhead += (other == timely ? at < place : other) ? 1 : 0;
         }
-        return ahead;
+        return workAhead;
     }
 
     // What a newcomer with so many of its class ahead would wait. At the end of a queue in which others keep overtaking, as a hot caller
     // stands, the work that will come in before it counts as well; else it would be let in only to be refused late.
-    base::Duration waitFor(const Admission& it, size_t of, size_t ahead, base::Duration run, base::Time now)
+    base::Duration waitFor(const Admission& it, size_t of, size_t workAhead, base::Duration run, base::Time now)
     {
         Forecast forecast = forecastFor(it, now);
         for (size_t n = 0; n <= of; ++n) {
             enterClass(it, forecast, n);
             const std::vector<Waiting>& queue = it.classes[n].queue;
             const std::vector<size_t> order = startOrder(it, it.classes[n], now);
-            const size_t end = n == of ? ahead : order.size();
+            const size_t end = n == of ? workAhead : order.size();
             for (size_t at = 0; at < end; ++at)
-                passOver(forecast, queue[order[at]].run);
+                addWork(forecast, queue[order[at]].run);
         }
         const Class& each = it.classes[of];
-        if (ahead == each.queue.size())
-            forecast.higherUsed += each.overtaken;
-        forecast.higherUsed *= surgeMargin;
-        return rounded(waitAt(it, forecast, of, run));
+        if (workAhead == each.queue.size())
+            forecast.higherClassSlots += each.recentOvertaking;
+        forecast.higherClassSlots *= surgeMargin;
+        return rounded(estimatedWait(it, forecast, of, run));
     }
 
-    bool isTried(const Admission& it, const base::RouteName& route)
+    bool hasTrial(const Admission& it, const base::RouteName& route)
     {
         return std::any_of(it.running.begin(), it.running.end(),
             [&](const auto& entry) { return entry.second.isTrial && entry.second.arrival.route == route; });
@@ -384,10 +384,10 @@
     // overload others stand behind it who can still be answered in time, and a late answer is worth little.
     base::Duration allowedWait(const Arrival& arrival, base::Duration run, base::Time now)
     {
-        const base::Duration allowed { static_cast<int64_t>(static_cast<double>((arrival.deadline - now - run).ms) * waitShare) };
-        if (!arrival.fullWorthBy)
+        const base::Duration allowed { static_cast<int64_t>(static_cast<double>((arrival.deadline - now - run).ms) * maxWaitShare) };
+        if (!arrival.targetDeadline)
             return allowed;
-        const base::Duration inTime = *arrival.fullWorthBy - now - run;
+        const base::Duration inTime = *arrival.targetDeadline - now - run;
         return inTime >= base::Duration {} ? std::min(allowed, inTime) : allowed;
     }
 
@@ -397,16 +397,16 @@
     {
         const bool seenTooLong = now + seen > arrival.deadline;
         const bool expectedFits = now + arrival.expected <= arrival.deadline;
-        return seenTooLong && expectedFits && !isTried(it, arrival.route) && slotFree(it, arrival.expected, now);
+        return seenTooLong && expectedFits && !hasTrial(it, arrival.route) && slotFree(it, arrival.expected, now);
     }
 
     void observeRun(Admission& it, const Admission::Running& ended, base::Duration ran)
     {
-        const bool quiet = static_cast<int>(it.running.size()) * 2 <= it.slots.announced;
+        const bool unloaded = static_cast<int>(it.running.size()) * 2 <= it.slots.announced;
         const base::RouteName& route = ended.arrival.route;
-        addRun(it.runs, route, ended.arrival.expected, ran, quiet);
+        addRun(it.runs, route, ended.arrival.expected, ran, unloaded);
         if (ended.isTrial)
-            forgetSlowRuns(it.runs, route, ended.arrival.expected, ran);
+            discardSlowRuns(it.runs, route, ended.arrival.expected, ran);
         for (Class& each : it.classes)
             for (Waiting& waiting : each.queue)
                 if (waiting.arrival.route == route)
@@ -415,13 +415,13 @@
 
     void observeLimit(Admission& it, const Admission::Running& ended, RunEnd end, base::Duration ran)
     {
-        if (!it.parts.limitObserved)
+        if (!it.options.adaptiveLimit)
             return;
         const int together = static_cast<int>(it.running.size());
         if (end == RunEnd::Shed)
-            shed(it.slots, together);
+            onShed(it.slots, together);
         if (end == RunEnd::Good)
-            good(it.slots, slowdown(it.runs, ended.arrival.route, ran), together >= it.slots.limit);
+            onGoodAnswer(it.slots, slowdown(it.runs, ended.arrival.route, ran), together >= it.slots.limit);
     }
 
 } // namespace
@@ -429,64 +429,64 @@
 Decision offer(Admission& it, const Arrival& arrival, base::Time now)
 {
     if (it.draining)
-        return { Verdict::Refuse, { arrival.id, base::Code::Draining, {} }, {} };
-    count(it, now);
+        return { AdmissionAction::Refuse, { arrival.id, base::Code::Draining, {} }, {} };
+    updateAverages(it, now);
     const base::Duration seen = usualRun(it.runs, arrival.route, arrival.expected);
     const bool isTrial = trialDue(it, arrival, seen, now);
     Waiting fresh { arrival, isTrial ? arrival.expected : seen, 0 };
     if (!isLong(fresh.run))
-        it.lastShort = now;
+        it.lastShortArrival = now;
     if (now + fresh.run > arrival.deadline)
-        return { Verdict::Refuse, { arrival.id, base::Code::DeadlineTooNear, {} }, {} };
+        return { AdmissionAction::Refuse, { arrival.id, base::Code::DeadlineTooNear, {} }, {} };
 
     const size_t of = classOf(it, arrival);
     Class& each = it.classes[of];
-    if (it.parts.fairness)
-        fresh.start = startOf(each.order, arrival.caller);
+    if (it.options.fairness)
+        fresh.start = startTimeOf(each.order, arrival.caller);
     const double weight = arrival.internal ? internalWeight : 1;
     if (slotFree(it, fresh.run, now) && !nextToStart(it, now)) {
         run(it, each, fresh, now);
         it.running[arrival.id].isTrial = isTrial;
         return {};
     }
-    const size_t place = placeOf(each, fresh.start);
-    const size_t ahead = aheadOf(it, each, fresh, place, now);
-    const base::Duration wait = waitFor(it, of, ahead, fresh.run, now);
+    const size_t place = insertPositionOf(each, fresh.start);
+    const size_t workAhead = countAheadOf(it, each, fresh, place, now);
+    const base::Duration wait = waitFor(it, of, workAhead, fresh.run, now);
     const base::Duration allowed = allowedWait(arrival, fresh.run, now);
     if (wait > allowed)
-        return { Verdict::Refuse, refuse(it, fresh, wait, allowed, now), {} };
+        return { AdmissionAction::Refuse, refuse(it, fresh, wait, allowed, now), {} };
     std::vector<Refusal> displaced;
-    if (each.queue.size() >= mostWaiting) {
+    if (each.queue.size() >= maxWaiting) {
         const std::optional<Refusal> last = displaceLast(it, each, fresh.start, now);
         if (!last)
-            return { Verdict::Refuse, refuse(it, fresh, wait, allowed, now), {} };
+            return { AdmissionAction::Refuse, refuse(it, fresh, wait, allowed, now), {} };
         displaced.push_back(*last);
     }
-    if (ahead < each.queue.size())
-        each.overtaken += static_cast<double>(fresh.run.ms) / static_cast<double>(usedWindow.ms);
-    take(each.order, arrival.caller, fresh.start, fresh.run, weight);
+    if (workAhead < each.queue.size())
+        each.recentOvertaking += static_cast<double>(fresh.run.ms) / static_cast<double>(averagingWindow.ms);
+    reserve(each.order, arrival.caller, fresh.start, fresh.run, weight);
     each.queue.insert(each.queue.begin() + static_cast<std::ptrdiff_t>(place), fresh);
-    const std::vector<Refusal> hopeless = refuseHopeless(it, now);
-    displaced.insert(displaced.end(), hopeless.begin(), hopeless.end());
-    return { Verdict::Wait, {}, displaced };
+    const std::vector<Refusal> infeasible = refuseInfeasible(it, now);
+    displaced.insert(displaced.end(), infeasible.begin(), infeasible.end());
+    return { AdmissionAction::Wait, {}, displaced };
 }
 
-Followup finished(Admission& it, RequestId id, RunEnd end, base::Duration ran, base::Time now)
+AdmissionChanges finished(Admission& it, RequestId id, RunEnd end, base::Duration ran, base::Time now)
 {
-    count(it, now);
+    updateAverages(it, now);
     const auto at = it.running.find(id);
     if (at == it.running.end())
-        return proceed(it, now);
+        return startWaiting(it, now);
     if (end == RunEnd::Good || end == RunEnd::Failed)
         observeRun(it, at->second, ran);
     observeLimit(it, at->second, end, ran);
     it.running.erase(at);
-    return proceed(it, now);
+    return startWaiting(it, now);
 }
 
-Followup cancel(Admission& it, RequestId id, base::Time now)
+AdmissionChanges cancel(Admission& it, RequestId id, base::Time now)
 {
-    count(it, now);
+    updateAverages(it, now);
     const auto at = it.running.find(id);
     if (at != it.running.end()) {
         // Callers give up on the slowest; leaving these out would make a slow upstream look fast.
@@ -494,28 +494,28 @@
         if (ran > usualRun(it.runs, at->second.arrival.route, at->second.arrival.expected))
             observeRun(it, at->second, ran);
         it.running.erase(at);
-        return proceed(it, now);
+        return startWaiting(it, now);
     }
     for (Class& each : it.classes)
         for (size_t place = 0; place < each.queue.size(); ++place)
             if (each.queue[place].arrival.id == id) {
-                dropAt(each, place);
-                return proceed(it, now);
+                removeWaiting(each, place);
+                return startWaiting(it, now);
             }
-    return proceed(it, now);
+    return startWaiting(it, now);
 }
 
-Followup tick(Admission& it, base::Time now)
+AdmissionChanges tick(Admission& it, base::Time now)
 {
-    count(it, now);
-    return proceed(it, now);
+    updateAverages(it, now);
+    return startWaiting(it, now);
 }
 
 base::Time nextTick(const Admission& it, base::Time now)
 {
-    base::Time next = now + idleTick;
-    if (it.lastShort + shortsRemembered > now) // then long jobs may spread out
-        next = std::min(next, it.lastShort + shortsRemembered);
+    base::Time next = now + idleTickInterval;
+    if (it.lastShortArrival + shortRequestMemory > now) // then long jobs may spread out
+        next = std::min(next, it.lastShortArrival + shortRequestMemory);
     for (const Class& each : it.classes)
         for (const Waiting& waiting : each.queue)
             next = std::min(next, waiting.arrival.deadline - waiting.run + base::Duration { 1 });
@@ -529,14 +529,14 @@
     it.readySince = now;
 }
 
-Followup setSlots(Admission& it, int announced, base::Time now)
+AdmissionChanges setSlots(Admission& it, int announced, base::Time now)
 {
-    count(it, now);
-    announce(it.slots, announced);
-    return proceed(it, now);
+    updateAverages(it, now);
+    setAnnounced(it.slots, announced);
+    return startWaiting(it, now);
 }
 
-Followup drain(Admission& it, base::Time now)
+AdmissionChanges drain(Admission& it, base::Time now)
 {
     it.draining = true;
     return tick(it, now);
@@ -545,11 +545,11 @@
 Load load(const Admission& it, base::Time now)
 {
     constexpr base::Duration shortRun { 1 };
-    const size_t of = it.parts.classes ? static_cast<size_t>(config::Priority::Read) : 0;
+    const size_t of = it.options.classes ? static_cast<size_t>(config::Priority::Read) : 0;
     base::Duration wait;
     if (!slotFree(it, shortRun, now))
         wait = waitFor(it, of, it.classes[of].queue.size(), shortRun, now);
-    return { static_cast<int>(it.running.size()), waitingCount(it), it.slots.limit, it.draining, wait, warmth(it, now) };
+    return { static_cast<int>(it.running.size()), waitingCount(it), it.slots.limit, it.draining, wait, slowStartProgressAt(it, now) };
 }
 
 } // namespace appletally::policy
--- a/src/appletally/policy/admission.h
+++ b/src/appletally/policy/admission.h
@@ -38,10 +38,10 @@
     base::Duration expected { 20 }; // the route's, from the configuration; observed runs replace it
     base::Time deadline; // an answer after this is of no use to the caller
     bool internal = false; // another service asks, not a person
-    std::optional<base::Time> fullWorthBy; // an answer after this is worth less to the caller; empty: not said
+    std::optional<base::Time> targetDeadline; // an answer after this is worth less to the caller; empty: not said
 };
 
-enum class Verdict : uint8_t { Run,
+enum class AdmissionAction : uint8_t { Run,
     Wait,
     Refuse };
 
@@ -53,13 +53,13 @@
 };
 
 struct Decision {
-    Verdict verdict = Verdict::Run;
+    AdmissionAction action = AdmissionAction::Run;
     Refusal refusal; // of the request itself; only with Verdict::Refuse
     std::vector<Refusal> displaced; // waiting ones that can no longer make it because this one goes first
 };
 
 // What follows from an event: who starts now and who is refused now.
-struct Followup {
+struct AdmissionChanges {
     std::vector<RequestId> start;
     std::vector<Refusal> refused;
 };
@@ -72,13 +72,13 @@
 };
 
 // Switches for tests and measurements; a node leaves them as they are.
-struct AdmissionParts {
+struct AdmissionOptions {
     bool classes = true; // false: all requests in one class
     bool fairness = true; // false: first come, first served within a class
-    bool longJobsBounded = true;
-    bool limitObserved = true; // false: the announced slots are always used
-    bool backInTime = true; // false: refused ones are told only when there should be room
-    bool timelyFirst = true; // false: those whose answers would come too late to be worth most keep their place
+    bool limitLongJobs = true;
+    bool adaptiveLimit = true; // false: the announced slots are always used
+    bool retryWithinTarget = true; // false: refused ones are told only when there should be room
+    bool prioritizeTimely = true; // false: those whose answers would come too late to be worth most keep their place
 };
 
 struct Admission {
@@ -96,12 +96,12 @@
     struct Class {
         std::vector<Waiting> queue; // by start, then as they came
         FairOrder order;
-        double owed = 0; // slot-milliseconds of its floor that this class has not got while it waited
-        double used = 0; // slots that it held lately, a moving mean
-        double overtaken = 0; // slots' worth of work that lately came in ahead of the queue's end, a moving mean
+        double minShareDeficit = 0; // slot-milliseconds of its floor that this class has not got while it waited
+        double recentSlots = 0; // slots that it held lately, a moving mean
+        double recentOvertaking = 0; // slots' worth of work that lately came in ahead of the queue's end, a moving mean
     };
 
-    AdmissionParts parts;
+    AdmissionOptions options;
     ConcurrencyLimit slots;
     bool draining = false;
     std::map<RequestId, Running> running; // more than slots.limit only just after the limit was lowered
@@ -109,30 +109,30 @@
     RunEstimates runs;
 
     base::Time readySince { -slowStart.ms }; // of this upstream process
-    base::Time countedTo; // `owed` and `used` are counted up to here
-    base::Time lastShort; // when a request that is not long last came
-    base::Time promisedTo; // refused ones were told to come back up to here
+    base::Time accountedUntil; // `owed` and `used` are counted up to here
+    base::Time lastShortArrival; // when a request that is not long last came
+    base::Time retriesScheduledUntil; // refused ones were told to come back up to here
 };
 
 Decision offer(Admission&, const Arrival&, base::Time now);
 
 // The upstream is done with a running request. `ran` is the time at the upstream alone.
-Followup finished(Admission&, RequestId, RunEnd, base::Duration ran, base::Time now);
+AdmissionChanges finished(Admission&, RequestId, RunEnd, base::Duration ran, base::Time now);
 
 // The caller gave up or went away, waiting or running; a running one's slot is free only if the upstream has let go of
 // it: call this after the upstream's connection was closed. Unknown ids are passed over.
-Followup cancel(Admission&, RequestId, base::Time now);
+AdmissionChanges cancel(Admission&, RequestId, base::Time now);
 
 // Call at nextTick() at the latest: refuses the waiting ones that can no longer make their deadline.
-Followup tick(Admission&, base::Time now);
+AdmissionChanges tick(Admission&, base::Time now);
 base::Time nextTick(const Admission&, base::Time now);
 
 // Another upstream process has begun to take work: what was learned of the one before (how long routes run, how many at
 // once it does well) says nothing about it, and it is cold. Only with nothing running; call setSlots() next.
 void upstreamStarted(Admission&, base::Time now);
 
-Followup setSlots(Admission&, int announced, base::Time now); // the upstream's announced ceiling
-Followup drain(Admission&, base::Time now); // no new work from now on; those that wait still run
+AdmissionChanges setSlots(Admission&, int announced, base::Time now); // the upstream's announced ceiling
+AdmissionChanges drain(Admission&, base::Time now); // no new work from now on; those that wait still run
 Load load(const Admission&, base::Time now);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/collapse.cpp
+++ b/src/appletally/policy/collapse.cpp
@@ -5,44 +5,44 @@
 
 bool join(Collapse& it, const ReadKey& key, RequestId id)
 {
-    const auto [at, fresh] = it.flights.try_emplace(key, Collapse::Flight { id, {} });
-    at->second.wanting.push_back(id);
-    it.byRequest[id] = key;
+    const auto [at, fresh] = it.sharedRuns.try_emplace(key, Collapse::SharedRun { id, {} });
+    at->second.waiters.push_back(id);
+    it.keyByRequest[id] = key;
     return fresh;
 }
 
 std::vector<RequestId> ended(Collapse& it, RequestId run)
 {
-    const auto known = it.byRequest.find(run);
-    if (known == it.byRequest.end())
+    const auto known = it.keyByRequest.find(run);
+    if (known == it.keyByRequest.end())
         return {};
-    const auto at = it.flights.find(known->second);
-    if (at == it.flights.end() || at->second.run != run)
+    const auto at = it.sharedRuns.find(known->second);
+    if (at == it.sharedRuns.end() || at->second.run != run)
         return {};
-    std::vector<RequestId> wanting = std::move(at->second.wanting);
-    it.flights.erase(at);
-    it.byRequest.erase(known);
-    for (const RequestId id : wanting)
-        it.byRequest.erase(id);
-    return wanting;
+    std::vector<RequestId> waiters = std::move(at->second.waiters);
+    it.sharedRuns.erase(at);
+    it.keyByRequest.erase(known);
+    for (const RequestId id : waiters)
+        it.keyByRequest.erase(id);
+    return waiters;
 }
 
-std::optional<RequestId> left(Collapse& it, RequestId id)
+std::optional<RequestId> leave(Collapse& it, RequestId id)
 {
-    const auto known = it.byRequest.find(id);
-    if (known == it.byRequest.end())
+    const auto known = it.keyByRequest.find(id);
+    if (known == it.keyByRequest.end())
         return std::nullopt;
-    const auto at = it.flights.find(known->second);
-    std::erase(at->second.wanting, id);
+    const auto at = it.sharedRuns.find(known->second);
+    std::erase(at->second.waiters, id);
     const RequestId run = at->second.run;
-    if (at->second.wanting.empty()) {
-        it.flights.erase(at);
-        it.byRequest.erase(run);
-        it.byRequest.erase(id);
+    if (at->second.waiters.empty()) {
+        it.sharedRuns.erase(at);
+        it.keyByRequest.erase(run);
+        it.keyByRequest.erase(id);
         return run;
     }
     if (id != run)
-        it.byRequest.erase(known);
+        it.keyByRequest.erase(known);
     return std::nullopt;
 }
 
--- a/src/appletally/policy/collapse.h
+++ b/src/appletally/policy/collapse.h
@@ -23,12 +23,12 @@
 };
 
 struct Collapse {
-    struct Flight {
+    struct SharedRun {
         RequestId run; // the request whose run it is; it may have left, the run goes on for the others
-        std::vector<RequestId> wanting; // who gets the answer; never empty
+        std::vector<RequestId> waiters; // who gets the answer; never empty
     };
-    std::map<ReadKey, Flight> flights;
-    std::map<RequestId, ReadKey> byRequest; // of all that are wanting, and of each run
+    std::map<ReadKey, SharedRun> sharedRuns;
+    std::map<RequestId, ReadKey> keyByRequest; // of all that are wanting, and of each run
 };
 
 // True: this request runs. False: it waits for the answer of the one that runs.
@@ -38,6 +38,6 @@
 std::vector<RequestId> ended(Collapse&, RequestId run);
 
 // A caller went away. The run to cancel, if nobody wants its answer any more.
-std::optional<RequestId> left(Collapse&, RequestId);
+std::optional<RequestId> leave(Collapse&, RequestId);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/concurrency_limit.h
+++ b/src/appletally/policy/concurrency_limit.h
@@ -14,21 +14,21 @@
 
     // The window being measured: good answers that ended while all slots were taken.
     int answers = 0;
-    double slowdowns = 0; // sum of run time over run time on a quiet upstream
+    double slowdownSum = 0; // sum of run time over run time on a quiet upstream
 
     // A trial under way, against what was measured before it.
-    bool trying = false;
-    int limitBefore = 0;
+    bool inTrial = false;
+    int limitBeforeTrial = 0;
     int answersToSkip = 0; // of runs that began under the limit before; counted in, they would hide what the trial gains
-    double slowdownBefore = 1;
+    double slowdownBeforeTrial = 1;
 
-    int windowsToHold = 0; // windows without a new trial, after one that failed
-    int holdNext = 4; // how long the next failed trial holds; doubles
+    int holdWindowsLeft = 0; // windows without a new trial, after one that failed
+    int nextHoldWindows = 4; // how long the next failed trial holds; doubles
 };
 
 // Each returns true where `limit` changed.
-bool announce(ConcurrencyLimit&, int announced);
-bool shed(ConcurrencyLimit&, int running); // the upstream refused one, `running` at it together with that one
-bool good(ConcurrencyLimit&, double slowdown, bool slotsFull);
+bool setAnnounced(ConcurrencyLimit&, int announced);
+bool onShed(ConcurrencyLimit&, int running); // the upstream refused one, `running` at it together with that one
+bool onGoodAnswer(ConcurrencyLimit&, double slowdown, bool slotsFull);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/fair_order.cpp
+++ b/src/appletally/policy/fair_order.cpp
@@ -8,41 +8,41 @@
 
     // Callers remembered at once. At 500 requests a second from as many callers that is two seconds of overload, longer
     // than anyone waits; a caller forgotten here merely starts at the front once more.
-    constexpr size_t mostCallers = 1024;
+    constexpr size_t maxCallers = 1024;
 
-    void forgetOldest(FairOrder& it)
+    void evictFinished(FairOrder& it)
     {
-        std::erase_if(it.ends, [&](const auto& entry) { return entry.second <= it.front; });
-        if (it.ends.size() < mostCallers)
+        std::erase_if(it.finishTimes, [&](const auto& entry) { return entry.second <= it.virtualTime; });
+        if (it.finishTimes.size() < maxCallers)
             return;
-        for (const auto& [caller, end] : it.ends)
-            it.front = std::max(it.front, end);
-        it.ends.clear();
+        for (const auto& [caller, end] : it.finishTimes)
+            it.virtualTime = std::max(it.virtualTime, end);
+        it.finishTimes.clear();
     }
 
 } // namespace
 
-double startOf(const FairOrder& it, const base::CallerId& caller)
+double startTimeOf(const FairOrder& it, const base::CallerId& caller)
 {
-    const auto at = it.ends.find(caller);
-    return at == it.ends.end() ? it.front : std::max(it.front, at->second);
+    const auto at = it.finishTimes.find(caller);
+    return at == it.finishTimes.end() ? it.virtualTime : std::max(it.virtualTime, at->second);
 }
 
-void take(FairOrder& it, const base::CallerId& caller, double start, base::Duration run, double weight)
+void reserve(FairOrder& it, const base::CallerId& caller, double start, base::Duration run, double weight)
 {
-    if (it.ends.size() >= mostCallers)
-        forgetOldest(it);
-    it.ends[caller] = start + static_cast<double>(run.ms) / weight;
+    if (it.finishTimes.size() >= maxCallers)
+        evictFinished(it);
+    it.finishTimes[caller] = start + static_cast<double>(run.ms) / weight;
 }
 
-void giveBack(FairOrder& it, const base::CallerId& caller, double start, bool last)
+void release(FairOrder& it, const base::CallerId& caller, double start, bool last)
 {
-    const auto at = it.ends.find(caller);
-    if (last && at != it.ends.end())
+    const auto at = it.finishTimes.find(caller);
+    if (last && at != it.finishTimes.end())
         at->second = std::min(at->second, start);
 }
 
-void served(FairOrder& it, double start) { it.front = std::max(it.front, start); }
-void forgetAll(FairOrder& it) { it.ends.clear(); }
+void advance(FairOrder& it, double start) { it.virtualTime = std::max(it.virtualTime, start); }
+void reset(FairOrder& it) { it.finishTimes.clear(); }
 
 } // namespace appletally::policy
--- a/src/appletally/policy/hedge.h
+++ b/src/appletally/policy/hedge.h
@@ -14,24 +14,24 @@
 namespace appletally::policy {
 
 // A moving estimate of the time within which 97 of 100 answers of a route come. One per route and node.
-struct SlowAnswer {
+struct LatencyEstimate {
     double ms = 0; // 0: no answer yet
     int answers = 0; // counted up to what an estimate needs
 };
 
 // Each good answer of a first try, and each first try that was cancelled since its copy won, with the time until then:
 // without those, the slowest would be missing and the estimate would sink until every read is hedged.
-void observe(SlowAnswer&, base::Duration took);
+void observe(LatencyEstimate&, base::Duration took);
 
 // Tokens in thousandths: each first try earns `perFirstTry`, each hedge costs 1000. One per service and node.
 struct HedgeBudget {
-    base::PerMille perFirstTry { 50 };
+    base::PerMille perFirstAttempt { 50 };
     int64_t tokens = 0; // invariant: 0 <= tokens <= the bucket's size
 };
-void earn(HedgeBudget&); // at each first try
+void accrue(HedgeBudget&); // at each first try
 
 // After which time without an answer a copy goes out; none: never for this request.
-std::optional<base::Duration> hedgeAfter(bool idempotent, const SlowAnswer&, base::Time deadline, base::Time now);
-bool takeHedge(HedgeBudget&); // at that time; false: the budget is spent, no copy
+std::optional<base::Duration> hedgeDelay(bool idempotent, const LatencyEstimate&, base::Time deadline, base::Time now);
+bool acquireHedge(HedgeBudget&); // at that time; false: the budget is spent, no copy
 
 } // namespace appletally::policy
--- a/src/appletally/policy/load.h
+++ b/src/appletally/policy/load.h
@@ -21,7 +21,7 @@
     int slots = 0; // requests that the upstream is given at once now; may be lower than announced
     bool draining = false; // no new work
     base::Duration wait {}; // what a new read would wait before it runs
-    base::PerMille warm { 1000 }; // how far its warm-up has come
+    base::PerMille slowStartProgress { 1000 }; // how far its warm-up has come
 };
 
 } // namespace appletally::policy
--- a/src/appletally/policy/outlier.cpp
+++ b/src/appletally/policy/outlier.cpp
@@ -8,16 +8,16 @@
 
     // Half of the answers failed, over about the last ten. A good upstream that fails 1 in 50 gets there once in
     // millions of answers; one that fails always is out after five.
-    constexpr double mostFailures = 0.5;
-    constexpr double memory = 0.15; // weight of one answer
-    constexpr int leastAnswers = 5;
+    constexpr double maxFailureRate = 0.5;
+    constexpr double answerWeight = 0.15; // weight of one answer
+    constexpr int minAnswers = 5;
 
-    constexpr base::Duration firstOut { 1000 }; // a restart takes about so long
-    constexpr base::Duration longestOut { 10'000 }; // one failed call in 10 s is less than a third of a service idle for longer
-    constexpr int hostsPerEjected = 3; // at most one in three is out, so that the others can carry its load
+    constexpr base::Duration firstEjection { 1000 }; // a restart takes about so long
+    constexpr base::Duration maxEjection { 10'000 }; // one failed call in 10 s is less than a third of a service idle for longer
+    constexpr int hostsPerEjection = 3; // at most one in three is out, so that the others can carry its load
 
-    bool isOut(const Health& it, base::Time now) { return it.ejected && (now < it.probeAt || it.probing); }
-    bool mayProbe(const Health& it, base::Time now) { return it.ejected && now >= it.probeAt && !it.probing; }
+    bool isEjected(const Health& it, base::Time now) { return it.ejected && (now < it.probeAt || it.probing); }
+    bool probeDue(const Health& it, base::Time now) { return it.ejected && now >= it.probeAt && !it.probing; }
 
     template <typename Map, typename Key>
     const Health& healthOf(const Map& map, const Key& key)
@@ -29,69 +29,69 @@
 
     void eject(Health& it, base::Time now)
     {
-        base::Duration out = firstOut * (int64_t { 1 } << std::min(it.ejections, 10));
-        out = std::min(out, longestOut);
-        it = { mostFailures, 0, true, now + out, false, it.ejections + 1 };
+        base::Duration out = firstEjection * (int64_t { 1 } << std::min(it.ejections, 10));
+        out = std::min(out, maxEjection);
+        it = { maxFailureRate, 0, true, now + out, false, it.ejections + 1 };
     }
 
     // The one probe decides: back with a memory of half the way, or out for twice as long.
-    void judgeProbe(Health& it, bool failed, base::Time now)
+    void finishProbe(Health& it, bool failed, base::Time now)
     {
         if (failed)
             eject(it, now);
         else
-            it = { mostFailures / 2, 0, false, {}, false, it.ejections };
+            it = { maxFailureRate / 2, 0, false, {}, false, it.ejections };
     }
 
     // True: it was ejected now.
-    bool note(Health& it, bool failed, bool mayEject, base::Time now)
+    bool recordAnswer(Health& it, bool failed, bool mayEject, base::Time now)
     {
         if (it.ejected) {
             if (it.probing)
-                judgeProbe(it, failed, now);
+                finishProbe(it, failed, now);
             return false; // else an answer to a request sent before the ejection
         }
-        it.failures += ((failed ? 1 : 0) - it.failures) * memory;
-        it.answers = std::min(it.answers + 1, leastAnswers * 20);
-        if (it.answers == leastAnswers * 20 && it.failures < mostFailures / 5)
+        it.failureRate += ((failed ? 1 : 0) - it.failureRate) * answerWeight;
+        it.answers = std::min(it.answers + 1, minAnswers * 20);
+        if (it.answers == minAnswers * 20 && it.failureRate < maxFailureRate / 5)
             it.ejections = 0; // well for a hundred answers
-        if (!mayEject || it.answers < leastAnswers || it.failures < mostFailures)
+        if (!mayEject || it.answers < minAnswers || it.failureRate < maxFailureRate)
             return false;
         eject(it, now);
         return true;
     }
 
     // A version is only out on a route where another version does well; if all fail, the fault is elsewhere.
-    bool otherVersionWell(const Outliers& it, const Subject& subject, base::Time now)
+    bool otherVersionHealthy(const Outliers& it, const Subject& subject, base::Time now)
     {
         return std::any_of(it.versionRoutes.begin(), it.versionRoutes.end(), [&](const auto& entry) {
             const Health& health = entry.second;
-            return entry.first.second == subject.route && entry.first.first != subject.version && !isOut(health, now)
-                && health.answers >= leastAnswers && health.failures < mostFailures / 2;
+            return entry.first.second == subject.route && entry.first.first != subject.version && !isEjected(health, now)
+                && health.answers >= minAnswers && health.failureRate < maxFailureRate / 2;
         });
     }
 
 } // namespace
 
-Standing standing(const Outliers& it, const Subject& subject, base::Time now)
+HostStatus statusOf(const Outliers& it, const Subject& subject, base::Time now)
 {
     const Health& host = healthOf(it.hosts, subject.host);
     const Health& route = healthOf(it.hostRoutes, std::pair { subject.host, subject.route });
-    if (isOut(host, now) || isOut(route, now))
-        return Standing::Out;
-    return mayProbe(host, now) || mayProbe(route, now) ? Standing::Probe : Standing::In;
+    if (isEjected(host, now) || isEjected(route, now))
+        return HostStatus::Ejected;
+    return probeDue(host, now) || probeDue(route, now) ? HostStatus::ProbeDue : HostStatus::Active;
 }
 
-bool versionOut(const Outliers& it, const base::UpstreamVersion& version, const base::RouteName& route, base::Time now)
+bool isVersionEjected(const Outliers& it, const base::UpstreamVersion& version, const base::RouteName& route, base::Time now)
 {
-    return isOut(healthOf(it.versionRoutes, std::pair { version, route }), now);
+    return isEjected(healthOf(it.versionRoutes, std::pair { version, route }), now);
 }
 
 void beginProbe(Outliers& it, const Subject& subject, base::Time now)
 {
     const auto begin = [&](auto& map, const auto& key) {
         const auto at = map.find(key);
-        if (at != map.end() && mayProbe(at->second, now))
+        if (at != map.end() && probeDue(at->second, now))
             at->second.probing = true;
     };
     begin(it.hosts, subject.host);
@@ -99,22 +99,22 @@
     begin(it.versionRoutes, std::pair { subject.version, subject.route });
 }
 
-double failuresOf(const Outliers& it, const Subject& subject)
+double failureRateOf(const Outliers& it, const Subject& subject)
 {
-    return healthOf(it.hostRoutes, std::pair { subject.host, subject.route }).failures;
+    return healthOf(it.hostRoutes, std::pair { subject.host, subject.route }).failureRate;
 }
 
-bool observe(Outliers& it, const Subject& subject, bool failed, const Others& others, base::Time now)
+bool observe(Outliers& it, const Subject& subject, bool failed, const PeerHealth& others, base::Time now)
 {
-    const bool oneInThree = (others.out + 1) * hostsPerEjected <= others.hosts + 1;
-    const bool mayEject = oneInThree && others.failures < mostFailures / 2;
-    const bool version = note(it.versionRoutes[{ subject.version, subject.route }], failed, otherVersionWell(it, subject, now), now);
-    const bool route = note(it.hostRoutes[{ subject.host, subject.route }], failed, mayEject, now);
-    const bool host = note(it.hosts[subject.host], failed, mayEject, now);
+    const bool oneInThree = (others.ejected + 1) * hostsPerEjection <= others.hosts + 1;
+    const bool mayEject = oneInThree && others.failureRate < maxFailureRate / 2;
+    const bool version = recordAnswer(it.versionRoutes[{ subject.version, subject.route }], failed, otherVersionHealthy(it, subject, now), now);
+    const bool route = recordAnswer(it.hostRoutes[{ subject.host, subject.route }], failed, mayEject, now);
+    const bool host = recordAnswer(it.hosts[subject.host], failed, mayEject, now);
     return version || route || host;
 }
 
-void cancelled(Outliers& it, const Subject& subject)
+void cancelProbe(Outliers& it, const Subject& subject)
 {
     const auto end = [](auto& map, const auto& key) {
         const auto at = map.find(key);
@@ -126,7 +126,7 @@
     end(it.versionRoutes, std::pair { subject.version, subject.route });
 }
 
-void forgetHost(Outliers& it, const base::HostId& host)
+void removeHost(Outliers& it, const base::HostId& host)
 {
     it.hosts.erase(host);
     std::erase_if(it.hostRoutes, [&](const auto& entry) { return entry.first.first == host; });
--- a/src/appletally/policy/outlier.h
+++ b/src/appletally/policy/outlier.h
@@ -16,7 +16,7 @@
 
 // How one subject has answered lately.
 struct Health {
-    double failures = 0; // moving share of failed answers, 0 to 1
+    double failureRate = 0; // moving share of failed answers, 0 to 1
     int answers = 0; // counted up to what an ejection needs
     bool ejected = false;
     base::Time probeAt; // while ejected: one request may go there from then on
@@ -36,28 +36,28 @@
     std::map<std::pair<base::UpstreamVersion, base::RouteName>, Health> versionRoutes;
 };
 
-enum class Standing : uint8_t {
-    In,
-    Probe, // out, but one request may try; take it with beginProbe()
-    Out,
+enum class HostStatus : uint8_t {
+    Active,
+    ProbeDue, // out, but one request may try; take it with beginProbe()
+    Ejected,
 };
 
-Standing standing(const Outliers&, const Subject&, base::Time now); // of the host in general and on this route
-bool versionOut(const Outliers&, const base::UpstreamVersion&, const base::RouteName&, base::Time now);
+HostStatus statusOf(const Outliers&, const Subject&, base::Time now); // of the host in general and on this route
+bool isVersionEjected(const Outliers&, const base::UpstreamVersion&, const base::RouteName&, base::Time now);
 void beginProbe(Outliers&, const Subject&, base::Time now);
 
 // How the other upstreams that could take this route do.
-struct Others {
+struct PeerHealth {
     int hosts = 0;
-    int out = 0; // of them, ejected already
-    double failures = 0; // mean moving share of their failed answers on this route
+    int ejected = 0; // of them, ejected already
+    double failureRate = 0; // mean moving share of their failed answers on this route
 };
-double failuresOf(const Outliers&, const Subject&); // of this host on this route
+double failureRateOf(const Outliers&, const Subject&); // of this host on this route
 
 // A host is ejected only where the others do well: if all fail, what they depend on is down, and each one less makes
 // it worse for the rest. Never more than a third is out. Returns true where something was ejected.
-bool observe(Outliers&, const Subject&, bool failed, const Others&, base::Time now);
-void cancelled(Outliers&, const Subject&); // a probe ended without telling anything
-void forgetHost(Outliers&, const base::HostId&);
+bool observe(Outliers&, const Subject&, bool failed, const PeerHealth&, base::Time now);
+void cancelProbe(Outliers&, const Subject&); // a probe ended without telling anything
+void removeHost(Outliers&, const base::HostId&);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/retry.cpp
+++ b/src/appletally/policy/retry.cpp
@@ -7,16 +7,16 @@
 namespace {
 
     constexpr int64_t tokensPerRetry = 1000;
-    constexpr int64_t mostTokens = 10 * tokensPerRetry; // a burst of ten failures may be retried, not a whole outage
+    constexpr int64_t maxTokens = 10 * tokensPerRetry; // a burst of ten failures may be retried, not a whole outage
     // A second upstream chosen with care that is full as well says that the service is full.
-    constexpr int mostTriesWhenFull = 2;
+    constexpr int maxAttemptsWhenFull = 2;
 
     // Nodes refuse for want of room before their upstream hears of it, so asking another one costs a round trip and nothing
     // that a budget has to protect.
-    constexpr int mostTriesForRoom = 3;
+    constexpr int maxAttemptsForRoom = 3;
 
-    constexpr int64_t leastPause = 5; // milliseconds; what broke a moment ago is given time to be noticed
-    constexpr int64_t mostPause = 50;
+    constexpr int64_t minPauseMs = 5; // milliseconds; what broke a moment ago is given time to be noticed
+    constexpr int64_t maxPauseMs = 50;
 
     enum class Kind : uint8_t {
         Moved, // that upstream takes no work; another does, and the try cost nothing
@@ -50,40 +50,40 @@
     }
 
     // Exponential, with full jitter above the least pause.
-    base::Duration pauseAfter(int tries, uint64_t random)
+    base::Duration backoffAfter(int attempts, uint64_t random)
     {
-        const int64_t most = std::min(mostPause, leastPause << std::min(tries, 4));
-        return { leastPause + static_cast<int64_t>(random % static_cast<uint64_t>(most - leastPause + 1)) };
+        const int64_t longest = std::min(maxPauseMs, minPauseMs << std::min(attempts, 4));
+        return { minPauseMs + static_cast<int64_t>(random % static_cast<uint64_t>(longest - minPauseMs + 1)) };
     }
 
-    int mostTriesFor(Kind kind, const FailedTry& failed)
+    int maxAttemptsFor(Kind kind, const FailedAttempt& failed)
     {
         if (kind == Kind::NoRoom || kind == Kind::Moved)
-            return mostTriesForRoom; // no upstream has heard of it, so none of the route's attempts is spent
-        return kind == Kind::Full ? std::min(mostTriesWhenFull, failed.mostTries) : failed.mostTries;
+            return maxAttemptsForRoom; // no upstream has heard of it, so none of the route's attempts is spent
+        return kind == Kind::Full ? std::min(maxAttemptsWhenFull, failed.maxAttempts) : failed.maxAttempts;
     }
 
-    RetryDecision no(base::Code code) { return { false, {}, code }; }
+    RetryDecision doNotRetry(base::Code code) { return { false, {}, code }; }
 
 } // namespace
 
-void earn(RetryBudget& it) { it.tokens = std::min(mostTokens, it.tokens + it.perFirstTry.value); }
+void accrue(RetryBudget& it) { it.tokens = std::min(maxTokens, it.tokens + it.perFirstAttempt.value); }
 
-RetryDecision mayRetry(RetryBudget& it, const FailedTry& failed, base::Time now, uint64_t random)
+RetryDecision mayRetry(RetryBudget& it, const FailedAttempt& failed, base::Time now, uint64_t random)
 {
     const Kind kind = kindOf(failed.code);
     const bool notRun = base::info(failed.code).notRun;
     if (kind == Kind::Final || (!notRun && !failed.idempotent))
-        return no(failed.code);
-    if (failed.refusedBelow || failed.tries >= mostTriesFor(kind, failed))
-        return no(failed.code);
-    const base::Duration pause = kind == Kind::Broken ? pauseAfter(failed.tries, random) : base::Duration {};
+        return doNotRetry(failed.code);
+    if (failed.refusedDownstream || failed.attempts >= maxAttemptsFor(kind, failed))
+        return doNotRetry(failed.code);
+    const base::Duration pause = kind == Kind::Broken ? backoffAfter(failed.attempts, random) : base::Duration {};
     if (now + pause + failed.expected > failed.deadline)
-        return no(failed.code);
+        return doNotRetry(failed.code);
     if (kind == Kind::Moved || kind == Kind::NoRoom)
         return { true, {}, base::Code::Ok };
     if (it.tokens < tokensPerRetry)
-        return no(failed.code);
+        return doNotRetry(failed.code);
     it.tokens -= tokensPerRetry;
     return { true, pause, base::Code::Ok };
 }
--- a/src/appletally/policy/retry.h
+++ b/src/appletally/policy/retry.h
@@ -13,19 +13,19 @@
 // Tokens in thousandths: each first try earns `perFirstTry`, each retry that may add load costs 1000. One per service
 // and node. It begins with three retries, so that a service that is hardly ever called may be retried as well.
 struct RetryBudget {
-    base::PerMille perFirstTry { 100 };
+    base::PerMille perFirstAttempt { 100 };
     int64_t tokens = 3000; // invariant: 0 <= tokens <= the bucket's size
 };
 
 // A try that did not end in a whole good answer.
-struct FailedTry {
+struct FailedAttempt {
     bool idempotent = false;
     base::Code code = base::Code::OutcomeUnknown; // what the owner's node said, or what this node concluded
-    bool refusedBelow = false; // the answer says (by a header) that a layer further down refused or has retried already
-    int tries = 1; // sent so far, this one included
+    bool refusedDownstream = false; // the answer says (by a header) that a layer further down refused or has retried already
+    int attempts = 1; // sent so far, this one included
     base::Time deadline;
     base::Duration expected { 20 }; // usual time to an answer
-    int mostTries = 3; // the route's; with three availability zones, one try in each
+    int maxAttempts = 3; // the route's; with three availability zones, one try in each
 };
 
 struct RetryDecision {
@@ -34,8 +34,8 @@
     base::Code code = base::Code::Ok; // the caller's final answer if not; never turns "may have run" into "not run"
 };
 
-void earn(RetryBudget&); // at each first try
-RetryDecision mayRetry(RetryBudget&, const FailedTry&, base::Time now, uint64_t random);
+void accrue(RetryBudget&); // at each first try
+RetryDecision mayRetry(RetryBudget&, const FailedAttempt&, base::Time now, uint64_t random);
 
 // True: the answer to the layer above must carry the header that stops its retries. The layer next to a failure is the
 // one that tries again; also where its budget was spent, since a full budget further up would only go round it.
--- a/src/appletally/policy/routing.h
+++ b/src/appletally/policy/routing.h
@@ -28,7 +28,7 @@
 namespace appletally::policy {
 
 // What an upstream's own node said of the runs of one route there.
-struct ToldRun {
+struct ReportedRun {
     double ms = 0; // the usual run lately, over all callers
     base::Time at;
 };
@@ -40,31 +40,31 @@
     int inFlight = 0; // sent by this node and not answered
     Load load; // carried by the owner's last answer
     base::Time loadAt; // when that came
-    int ofOthers = 0; // of that load, what was not this node's own
-    double pace = 1; // moving mean of the time to an answer over the usual one of its route; 2: twice as slow
-    base::Time paceAt; // of the last answer that went into it
-    std::map<base::RouteName, ToldRun> runs; // bounded by the routes of the configuration
+    int otherLoad = 0; // of that load, what was not this node's own
+    double latencyRatio = 1; // moving mean of the time to an answer over the usual one of its route; 2: twice as slow
+    base::Time latencyRatioAt; // of the last answer that went into it
+    std::map<base::RouteName, ReportedRun> runs; // bounded by the routes of the configuration
     base::Time absentUntil; // nothing goes there before; it was not found where its record says
 };
 
 // What is usual on one route, over all upstreams of the service.
-struct RoutePace {
+struct RouteLatency {
     double mean = 0; // milliseconds to an answer; 0: none yet
     double run = 0; // milliseconds at the upstream alone, as their nodes tell; 0: none yet
     double spread = 0.5; // of single runs around that: the deviation of their logarithms, a moving mean
     double kilobytes = 0; // of an answer, a moving mean
 };
 
-constexpr int64_t wholeShare = 1000; // PerMille of all
+constexpr int64_t totalShare = 1000; // PerMille of all
 
 // Whose turn it is on one route. Each route has its own, or two routes that are asked in turn would send all of one to
 // the old version and all of the other to the new.
-using Turns = std::map<base::UpstreamVersion, int64_t>; // credits in thousandths; invariant: they add up to 0
+using VersionCredits = std::map<base::UpstreamVersion, int64_t>; // credits in thousandths; invariant: they add up to 0
 
 // Switches for tests and measurements; a node leaves them as they are.
-struct RoutingParts {
-    bool speeds = true; // false: upstreams that are less than twice as slow as usual count as equal
-    bool worth = true; // false: requests that say within what time an answer is worth most go where it is expected first
+struct RoutingOptions {
+    bool useRunTimes = true; // false: upstreams that are less than twice as slow as usual count as equal
+    bool useTargetLatency = true; // false: requests that say within what time an answer is worth most go where it is expected first
 };
 
 // What carrying answers costs where that is paid for.
@@ -74,24 +74,24 @@
 
 // A node's view of one service.
 struct Router {
-    RoutingParts parts;
+    RoutingOptions options;
     RoutingCosts costs;
     base::ZoneName zone; // the node's own
     std::map<base::HostId, Target> targets;
     std::map<base::UpstreamVersion, base::PerMille> shares; // empty: any version takes traffic
-    base::UpstreamVersion standIn; // for versions with a share that have no upstream; empty: none
-    std::map<base::RouteName, Turns> turns;
-    uint64_t turnSeed = 0;
-    std::map<base::RouteName, RoutePace> routes;
+    base::UpstreamVersion fallbackVersion; // for versions with a share that have no upstream; empty: none
+    std::map<base::RouteName, VersionCredits> versionCredits;
+    uint64_t creditSeed = 0;
+    std::map<base::RouteName, RouteLatency> routes;
     Outliers outliers;
 };
 
 struct PickRequest {
     base::RouteName route;
     std::span<const base::HostId> excluded; // those that a retry or hedge has tried
-    std::optional<base::UpstreamVersion> only; // a retry after VersionTakenBack asks for the old version
+    std::optional<base::UpstreamVersion> onlyVersion; // a retry after VersionTakenBack asks for the old version
     bool mayProbe = true; // false for requests that can't be repeated: no use trying them on an ejected upstream
-    std::optional<base::Duration> within {}; // an answer after this is worth less to the caller, or nothing
+    std::optional<base::Duration> targetLatency {}; // an answer after this is worth less to the caller, or nothing
 };
 
 struct Pick {
@@ -108,14 +108,14 @@
     Absent, // not run: no such upstream is at its host's address, or its node cannot be reached
 };
 
-struct Answered {
+struct AnswerReport {
     base::HostId host;
     base::RouteName route;
     AnswerKind kind = AnswerKind::Good;
-    base::Duration took {}; // from sending to the whole answer
+    base::Duration elapsed {}; // from sending to the whole answer
     std::optional<Load> load; // as carried; none where nothing came back
     base::Bytes size {}; // of the answer's body
-    base::Duration ran {}; // of `took`, at the upstream alone; zero: not known
+    base::Duration runTime {}; // of `took`, at the upstream alone; zero: not known
     base::Duration usualRun {}; // of the route there, as the upstream's own node says; zero: not known
 };
 
@@ -124,16 +124,16 @@
 
 // `random` sets where in the sequence of turns this node begins, so that a thousand nodes that boot together don't
 // send their first request all to the same version.
-void setShares(Router&, std::span<const config::VersionShare>, uint64_t random, const base::UpstreamVersion& standIn = {});
+void setShares(Router&, std::span<const config::VersionShare>, uint64_t random, const base::UpstreamVersion& fallbackVersion = {});
 
 // None: no upstream may take it; of a version that has no upstream left, the turn goes to one with at least its share,
 // never to one with less: a new version on trial is not the old one's stand-in. Where that leaves none, to the service's
 // stand-in, which has had all traffic before.
 // A pick counts as in flight until answered() is called for it, exactly once.
 std::optional<Pick> pick(Router&, const PickRequest&, base::Time now, uint64_t random);
-void answered(Router&, const Answered&, base::Time now);
+void answered(Router&, const AnswerReport&, base::Time now);
 
 // An owner's node told its load of its own accord, so that what it must stop at once (it drains) needs no answer first.
-void loadTold(Router&, const base::HostId&, const Load&, base::Time now);
+void loadReported(Router&, const base::HostId&, const Load&, base::Time now);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/run_estimate.cpp
+++ b/src/appletally/policy/run_estimate.cpp
@@ -10,15 +10,15 @@
     // Runs that the mean remembers. Runs vary by about their own mean, so 16 of them tell it to within a quarter,
     // which the half of the deadline that admission keeps free absorbs; more would see a slow upstream later.
     constexpr int meanWindow = 16;
-    constexpr int quietWindow = 64; // what an upstream can do at best changes with its software, not within seconds
-    constexpr double leastRun = 1; // milliseconds
+    constexpr int unloadedWindow = 64; // what an upstream can do at best changes with its software, not within seconds
+    constexpr double minRunMs = 1; // milliseconds
 
     // One run counts as at most so many usual ones. Runs vary by about their own mean, so fewer than 2 in 100 are longer;
     // without it a single run that hung for 20 s would have the whole queue refused as hopeless.
-    constexpr double mostOfOneRun = 4;
+    constexpr double maxRunFactor = 4;
 
     // The first run counts as much as the configuration's word, later ones by the window.
-    void blend(double& mean, int& runs, int window, double sample)
+    void updateMean(double& mean, int& runs, int window, double sample)
     {
         runs = std::min(runs + 1, window);
         mean += (sample - mean) / (runs + 1);
@@ -30,7 +30,7 @@
 {
     const auto at = it.find(route);
     const double mean = at == it.end() ? static_cast<double>(expected.ms) : at->second.mean;
-    return { static_cast<int64_t>(std::lround(std::max(mean, leastRun))) };
+    return { static_cast<int64_t>(std::lround(std::max(mean, minRunMs))) };
 }
 
 std::optional<base::Duration> observedRun(const RunEstimates& it, const base::RouteName& route)
@@ -43,20 +43,20 @@
     const auto at = it.find(route);
     if (at == it.end())
         return 1;
-    return std::max(static_cast<double>(ran.ms), leastRun) / std::max(at->second.quiet, leastRun);
+    return std::max(static_cast<double>(ran.ms), minRunMs) / std::max(at->second.unloaded, minRunMs);
 }
 
-void addRun(RunEstimates& it, const base::RouteName& route, base::Duration expected, base::Duration ran, bool quiet)
+void addRun(RunEstimates& it, const base::RouteName& route, base::Duration expected, base::Duration ran, bool unloaded)
 {
     const auto usual = static_cast<double>(expected.ms);
     RunEstimate& estimate = it.try_emplace(route, RunEstimate { usual, usual, 0, 0 }).first->second;
     const auto sample = static_cast<double>(ran.ms);
-    blend(estimate.mean, estimate.runs, meanWindow, std::min(sample, mostOfOneRun * std::max(estimate.mean, leastRun)));
-    if (quiet)
-        blend(estimate.quiet, estimate.quietRuns, quietWindow, sample);
+    updateMean(estimate.mean, estimate.runs, meanWindow, std::min(sample, maxRunFactor * std::max(estimate.mean, minRunMs)));
+    if (unloaded)
+        updateMean(estimate.unloaded, estimate.unloadedRuns, unloadedWindow, sample);
 }
 
-void forgetSlowRuns(RunEstimates& it, const base::RouteName& route, base::Duration expected, base::Duration ran)
+void discardSlowRuns(RunEstimates& it, const base::RouteName& route, base::Duration expected, base::Duration ran)
 {
     const auto at = it.find(route);
     if (at != it.end())
--- a/src/appletally/policy/run_estimate.h
+++ b/src/appletally/policy/run_estimate.h
@@ -14,9 +14,9 @@
 
 struct RunEstimate {
     double mean = 0; // milliseconds
-    double quiet = 0; // milliseconds, of runs with at most half of the announced slots taken: what the upstream can do at best
+    double unloaded = 0; // milliseconds, of runs with at most half of the announced slots taken: what the upstream can do at best
     int runs = 0; // counted up to the window below
-    int quietRuns = 0;
+    int unloadedRuns = 0;
 };
 
 using RunEstimates = std::map<base::RouteName, RunEstimate>; // bounded by the routes of the configuration
@@ -30,9 +30,9 @@
 // How many times longer than on a quiet upstream `ran` is; 1 where nothing is known.
 double slowdown(const RunEstimates&, const base::RouteName&, base::Duration ran);
 
-void addRun(RunEstimates&, const base::RouteName&, base::Duration expected, base::Duration ran, bool quiet);
+void addRun(RunEstimates&, const base::RouteName&, base::Duration expected, base::Duration ran, bool unloaded);
 
 // A run that was let in against the mean has ended well within it: the slow runs behind that mean are over.
-void forgetSlowRuns(RunEstimates&, const base::RouteName&, base::Duration expected, base::Duration ran);
+void discardSlowRuns(RunEstimates&, const base::RouteName&, base::Duration expected, base::Duration ran);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/split.cpp
+++ b/src/appletally/policy/split.cpp
@@ -3,21 +3,21 @@
 
 namespace appletally::policy {
 
-base::ServiceName nextSplit(SplitTurns& turns, const std::vector<config::RouteSplit>& splits)
+base::ServiceName nextSplit(SplitCredits& credits, const std::vector<config::RouteSplit>& splits)
 {
-    int64_t all = 0;
+    int64_t totalWeight = 0;
     const config::RouteSplit* next = nullptr;
     for (const config::RouteSplit& it : splits) {
         if (it.weight <= 0)
             continue;
-        all += it.weight;
-        turns[it.service] += it.weight;
-        if (!next || turns[it.service] > turns[next->service])
+        totalWeight += it.weight;
+        credits[it.service] += it.weight;
+        if (!next || credits[it.service] > credits[next->service])
             next = &it;
     }
     if (!next)
         return splits.front().service;
-    turns[next->service] -= all;
+    credits[next->service] -= totalWeight;
     return next->service;
 }
 
--- a/src/appletally/policy/split.h
+++ b/src/appletally/policy/split.h
@@ -14,9 +14,9 @@
 namespace appletally::policy {
 
 // Credits of one route's parts; invariant: they add up to 0.
-using SplitTurns = std::map<base::ServiceName, int64_t>;
+using SplitCredits = std::map<base::ServiceName, int64_t>;
 
 // `splits` is not empty. Where all weights are 0 the first part gets everything.
-base::ServiceName nextSplit(SplitTurns&, const std::vector<config::RouteSplit>& splits);
+base::ServiceName nextSplit(SplitCredits&, const std::vector<config::RouteSplit>& splits);
 
 } // namespace appletally::policy
--- a/tests/admission_fuzz_test.cpp
+++ b/tests/admission_fuzz_test.cpp
@@ -35,7 +35,7 @@
     int refusedWaiting = 0;
 } reached;
 
-struct World {
+struct Simulation {
     Admission admission;
     Time now {};
     std::map<uint64_t, Offered> waiting;
@@ -43,7 +43,7 @@
     std::set<uint64_t> final;
 };
 
-void settle(World& it, const Refusal& refusal, bool offeredNow)
+void settle(Simulation& it, const Refusal& refusal, bool offeredNow)
 {
     const uint64_t id = refusal.id.value;
     RC_ASSERT(it.running.count(id) == 0); // what runs is never refused
@@ -57,7 +57,7 @@
     it.waiting.erase(id);
 }
 
-void begin(World& it, uint64_t id)
+void begin(Simulation& it, uint64_t id)
 {
     RC_ASSERT(it.waiting.count(id) == 1);
     RC_ASSERT(it.now + it.waiting.at(id).run <= it.waiting.at(id).deadline); // never started in vain
@@ -66,17 +66,17 @@
     RC_ASSERT(static_cast<int>(it.running.size()) <= it.admission.slots.limit);
 }
 
-void follow(World& it, const Followup& followup)
+void follow(Simulation& it, const AdmissionChanges& changes)
 {
-    for (const Refusal& refusal : followup.refused)
+    for (const Refusal& refusal : changes.refused)
         settle(it, refusal, false);
-    for (const RequestId id : followup.start) {
+    for (const RequestId id : changes.start) {
         ++reached.startedLater;
         begin(it, id.value);
     }
 }
 
-void check(const World& it)
+void check(const Simulation& it)
 {
     const Load now = load(it.admission, it.now);
     RC_ASSERT(now.running == static_cast<int>(it.running.size()));
@@ -85,7 +85,7 @@
         RC_ASSERT(it.now <= of.deadline); // none waits past its deadline
 }
 
-using Command = rc::state::Command<Oracle, World>;
+using Command = rc::state::Command<Oracle, Simulation>;
 
 struct Offer : Command {
     // Runs of one route are always as long as it says, so the oracle knows exactly what is hopeless.
@@ -94,7 +94,7 @@
     int slack = *rc::gen::inRange(-10, 900);
     bool internal = *rc::gen::arbitrary<bool>();
     void apply(Oracle& it) const override { ++it.next; }
-    void run(const Oracle& before, World& it) const override
+    void run(const Oracle& before, Simulation& it) const override
     {
         static const int runs[] = { 20, 5, 60, 350 };
         const Duration run { runs[route] };
@@ -102,15 +102,15 @@
             it.now + run + Duration { slack }, internal };
         it.waiting[before.next] = { arrival.deadline, run };
         const Decision decision = offer(it.admission, arrival, it.now);
-        ++(decision.verdict == Verdict::Run ? reached.ran : reached.waited);
-        if (decision.verdict == Verdict::Run)
+        ++(decision.action == AdmissionAction::Run ? reached.ran : reached.waited);
+        if (decision.action == AdmissionAction::Run)
             begin(it, before.next);
-        if (decision.verdict == Verdict::Refuse) {
+        if (decision.action == AdmissionAction::Refuse) {
             --reached.waited;
             settle(it, decision.refusal, true);
         }
-        RC_ASSERT(slack >= 0 || decision.verdict == Verdict::Refuse);
-        RC_ASSERT(!before.draining || decision.verdict == Verdict::Refuse);
+        RC_ASSERT(slack >= 0 || decision.action == AdmissionAction::Refuse);
+        RC_ASSERT(!before.draining || decision.action == AdmissionAction::Refuse);
         for (const Refusal& other : decision.displaced)
             settle(it, other, false);
         check(it);
@@ -122,7 +122,7 @@
 struct Pass : Command {
     int ms = *rc::gen::inRange(1, 400);
     void apply(Oracle& it) const override { it.now = it.now + Duration { ms }; }
-    void run(const Oracle&, World& it) const override
+    void run(const Oracle&, Simulation& it) const override
     {
         const Time end = it.now + Duration { ms };
         while (it.now < end) {
@@ -137,7 +137,7 @@
 struct Finish : Command {
     int which = *rc::gen::inRange(0, 10);
     bool cancelled = *rc::gen::arbitrary<bool>();
-    void run(const Oracle&, World& it) const override
+    void run(const Oracle&, Simulation& it) const override
     {
         if (it.running.empty())
             return;
@@ -153,7 +153,7 @@
 
 struct GiveUp : Command {
     int which = *rc::gen::inRange(0, 10);
-    void run(const Oracle&, World& it) const override
+    void run(const Oracle&, Simulation& it) const override
     {
         if (it.waiting.empty())
             return;
@@ -170,7 +170,7 @@
 struct Slots : Command {
     int count = *rc::gen::inRange(1, 12);
     void apply(Oracle& it) const override { it.slots = count; }
-    void run(const Oracle&, World& it) const override
+    void run(const Oracle&, Simulation& it) const override
     {
         follow(it, setSlots(it.admission, count, it.now));
         RC_ASSERT(it.admission.slots.limit <= count);
@@ -182,7 +182,7 @@
 struct Drain : Command {
     Drain() { RC_PRE(*rc::gen::inRange(0, 8) == 0); } // nothing is let in after it, so not too soon
     void apply(Oracle& it) const override { it.draining = true; }
-    void run(const Oracle&, World& it) const override
+    void run(const Oracle&, Simulation& it) const override
     {
         follow(it, drain(it.admission, it.now));
         check(it);
@@ -198,9 +198,9 @@
     // forgotten in the queue leaves its caller without an answer; one that runs beside full slots slows all others.
     const bool held = rc::check("admission", [] {
         for (int n = 0; n < 10; ++n) {
-            World world;
-            follow(world, setSlots(world.admission, 4, world.now));
-            rc::state::check(Oracle {}, world, rc::state::gen::execOneOfWithArgs<Offer, Offer, Offer, Offer, Offer, Offer, Pass, Pass, Finish, Finish, Finish, GiveUp, Slots, Drain>());
+            Simulation simulation;
+            follow(simulation, setSlots(simulation.admission, 4, simulation.now));
+            rc::state::check(Oracle {}, simulation, rc::state::gen::execOneOfWithArgs<Offer, Offer, Offer, Offer, Offer, Offer, Pass, Pass, Finish, Finish, Finish, GiveUp, Slots, Drain>());
         }
     });
     CHECK(held);
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -12,26 +12,26 @@
 constexpr Duration runLength { 20'000 };
 
 // One upstream under the same streams with the given rules.
-Model under(Queueing queueing, std::vector<Stream> streams, int slots = 10, AdmissionParts parts = {}, uint64_t seed = 7)
+Model under(Queueing queueing, std::vector<Stream> streams, int slots = 10, AdmissionOptions options = {}, uint64_t seed = 7)
 {
     Model model;
     model.queueing = queueing;
     model.random.seed(seed);
     model.upstreams.resize(1);
     model.upstreams[0].slots = slots;
-    model.upstreams[0].admission.parts = parts;
+    model.upstreams[0].admission.options = options;
     model.streams = std::move(streams);
     model.run(runLength);
     return model;
 }
 
-Model underSlowdown(std::function<double(int, Time)> slowdown, std::vector<Stream> streams, AdmissionParts parts, uint64_t seed = 7)
+Model underSlowdown(std::function<double(int, Time)> slowdown, std::vector<Stream> streams, AdmissionOptions options, uint64_t seed = 7)
 {
     Model model;
     model.random.seed(seed);
     model.upstreams.resize(1);
     model.upstreams[0].slowdown = std::move(slowdown);
-    model.upstreams[0].admission.parts = parts;
+    model.upstreams[0].admission.options = options;
     model.streams = std::move(streams);
     model.run(runLength);
     return model;
@@ -51,7 +51,7 @@
     return "offered " + std::to_string(it.offered) + " in time " + std::to_string(it.inTime) + " late " + std::to_string(it.late)
         + " refused " + std::to_string(it.refused) + " wait p50 " + std::to_string(quantile(it.waits, 0.5)) + " p99 "
         + std::to_string(quantile(it.waits, 0.99)) + " refused after p99 " + std::to_string(quantile(it.refusedAfter, 0.99)) + " p50 " + std::to_string(quantile(it.refusedAfter, 0.5)) + " back "
-        + std::to_string(it.back) + "/" + std::to_string(it.backInTime);
+        + std::to_string(it.retried) + "/" + std::to_string(it.retriedInTime);
 }
 
 void show(const char* what, const Model& model)
@@ -131,8 +131,8 @@
     const Tally& burst = with.tallies[1];
     CHECK(burst.late == 0);
     CHECK(quantile(burst.refusedAfter, 0.5) <= 1);
-    CHECK(burst.back == burst.refused); // each was told when to come back,
-    CHECK(burst.backInTime >= 0.9 * burst.back); // and there was room then
+    CHECK(burst.retried == burst.refused); // each was told when to come back,
+    CHECK(burst.retriedInTime >= 0.9 * burst.retried); // and there was room then
 }
 
 TEST_CASE("a harbour master who refreshes twenty times as often as others", "[policy][hot-caller]")
@@ -143,7 +143,7 @@
     for (int n = 0; n < 9; ++n)
         streams.push_back({ "agent" + std::to_string(n), "berth", Priority::Read, 28, 20, Duration { 1000 } });
     const Model with = under(Queueing::Admission, streams);
-    AdmissionParts unfair;
+    AdmissionOptions unfair;
     unfair.fairness = false;
     const Model without = under(Queueing::Admission, streams, 10, unfair);
     show("fair", with);
@@ -167,7 +167,7 @@
     for (int n = 0; n < 12; ++n)
         streams.push_back({ "driver" + std::to_string(n), "routes", Priority::Lookup, 10, 20, Duration { 1000 } });
     const Model with = under(Queueing::Admission, streams, 6);
-    AdmissionParts unfair;
+    AdmissionOptions unfair;
     unfair.fairness = false;
     const Model without = under(Queueing::Admission, streams, 6, unfair);
     show("fair", with);
@@ -190,8 +190,8 @@
         { "agents", "berth", Priority::Read, slots * 20.0, 20, Duration { 1000 } },
     };
     const Model with = under(Queueing::Admission, streams, slots);
-    AdmissionParts unbounded;
-    unbounded.longJobsBounded = false;
+    AdmissionOptions unbounded;
+    unbounded.limitLongJobs = false;
     const Model without = under(Queueing::Admission, streams, slots, unbounded);
     show("bounded", with);
     show("unbounded", without);
@@ -217,8 +217,8 @@
     // all. Filled to its ceiling it does half of what it could.
     const auto thrashing = [](int running, Time) { return running <= 4 ? 1.0 : 1.0 + 0.75 * (running - 4); };
     const std::vector<Stream> streams = { { "agents", "berth", Priority::Read, 400, 20, Duration { 1000 } } };
-    AdmissionParts ceiling;
-    ceiling.limitObserved = false;
+    AdmissionOptions ceiling;
+    ceiling.adaptiveLimit = false;
     double gain = 0;
     constexpr uint64_t seeds = 8;
     for (uint64_t seed = 1; seed <= seeds; ++seed) {
@@ -240,8 +240,8 @@
     // watches run time would close slot after slot, and lose work for nothing.
     const auto slow = [](int, Time now) { return now < Time { 3000 } ? 1.0 : 3.0; };
     const std::vector<Stream> streams = { { "agents", "berth", Priority::Read, 400, 20, Duration { 1000 } } };
-    AdmissionParts ceiling;
-    ceiling.limitObserved = false;
+    AdmissionOptions ceiling;
+    ceiling.adaptiveLimit = false;
     const auto seed = static_cast<uint64_t>(GENERATE(range(1, 9)));
     const Model with = underSlowdown(slow, streams, {}, seed);
     const Model without = underSlowdown(slow, streams, ceiling, seed);
@@ -272,10 +272,10 @@
     const auto sheet = [](uint64_t id) {
         return Arrival { { id }, { "baker" }, { "sheets" }, Priority::Archive, Duration { 3000 }, Time { 60'000 } };
     };
-    CHECK(offer(it, { { 1 }, { "driver" }, { "routes" }, Priority::Lookup, Duration { 10 }, Time { 1000 } }, Time { 0 }).verdict == Verdict::Run);
+    CHECK(offer(it, { { 1 }, { "driver" }, { "routes" }, Priority::Lookup, Duration { 10 }, Time { 1000 } }, Time { 0 }).action == AdmissionAction::Run);
     for (uint64_t id = 2; id <= 4; ++id)
-        CHECK(offer(it, sheet(id), Time { 100 }).verdict == Verdict::Run);
-    CHECK(offer(it, sheet(5), Time { 100 }).verdict == Verdict::Wait);
+        CHECK(offer(it, sheet(id), Time { 100 }).action == AdmissionAction::Run);
+    CHECK(offer(it, sheet(5), Time { 100 }).action == AdmissionAction::Wait);
     CHECK(nextTick(it, Time { 100 }) == Time { 1000 });
     CHECK(tick(it, Time { 999 }).start.empty());
     CHECK(tick(it, Time { 1000 }).start == std::vector<RequestId> { { 5 } });
@@ -286,18 +286,18 @@
     // The upstream refuses by itself although it announced ten slots; each such refusal is a request lost to it. The
     // node believes what it sees, and asks for more only after a while.
     ConcurrencyLimit it;
-    CHECK(shed(it, 7));
+    CHECK(onShed(it, 7));
     CHECK(it.limit == 6);
-    CHECK_FALSE(shed(it, 9)); // of the same moment
+    CHECK_FALSE(onShed(it, 9)); // of the same moment
     int answers = 0;
     while (it.limit == 6 && answers < 10'000) {
-        good(it, 1.0, true);
+        onGoodAnswer(it, 1.0, true);
         ++answers;
     }
     CHECK(it.limit == 7);
     CHECK(answers >= 300);
     CHECK(answers <= 500);
-    CHECK(announce(it, 3));
+    CHECK(setAnnounced(it, 3));
     CHECK(it.limit == 3);
 }
 
@@ -307,8 +307,8 @@
     // caller with a short deadline, and use only the slots that the old one could bear.
     Admission it;
     const Arrival page { { 1 }, { "agent" }, { "berth" }, Priority::Read, Duration { 20 }, Time { 500 } };
-    CHECK(load(it, Time { 0 }).warm.value == 1000); // of an upstream that was there before its node nothing else is known
-    CHECK(offer(it, page, Time { 0 }).verdict == Verdict::Run);
+    CHECK(load(it, Time { 0 }).slowStartProgress.value == 1000); // of an upstream that was there before its node nothing else is known
+    CHECK(offer(it, page, Time { 0 }).action == AdmissionAction::Run);
     for (uint64_t id = 2; id < 40; ++id) {
         finished(it, { id - 1 }, RunEnd::Good, Duration { 900 }, Time { 0 });
         offer(it, { { id }, { "agent" }, { "berth" }, Priority::Read, Duration { 20 }, Time { 5000 } }, Time { 0 });
@@ -319,9 +319,9 @@
     upstreamStarted(it, Time { 1000 });
     CHECK(it.slots.limit == 10);
     CHECK(usualRun(it.runs, { "berth" }, Duration { 20 }) == Duration { 20 });
-    CHECK(load(it, Time { 1000 }).warm.value == 0);
-    CHECK(load(it, Time { 6000 }).warm.value == 500);
-    CHECK(load(it, Time { 60'000 }).warm.value == 1000);
+    CHECK(load(it, Time { 1000 }).slowStartProgress.value == 0);
+    CHECK(load(it, Time { 6000 }).slowStartProgress.value == 500);
+    CHECK(load(it, Time { 60'000 }).slowStartProgress.value == 1000);
 }
 
 TEST_CASE("refreshes of one page share one run and all get the answer", "[policy][hot-caller]")
@@ -334,18 +334,18 @@
     CHECK_FALSE(join(it, key, { 3 }));
     CHECK(join(it, { { "agent" }, { "berth" }, "/berths/7" }, { 4 })); // another caller's answer may differ
     CHECK(join(it, { { "master" }, { "berth" }, "/berths/8" }, { 5 }));
-    CHECK_FALSE(left(it, { 1 })); // the run goes on for the others
-    CHECK_FALSE(left(it, { 2 }));
+    CHECK_FALSE(leave(it, { 1 })); // the run goes on for the others
+    CHECK_FALSE(leave(it, { 2 }));
     CHECK(ended(it, { 1 }) == std::vector<RequestId> { { 3 } });
     CHECK(ended(it, { 1 }).empty());
     CHECK(join(it, key, { 6 })); // a later read sees a later state
     CHECK_FALSE(join(it, key, { 7 }));
-    CHECK_FALSE(left(it, { 7 }));
-    CHECK(left(it, { 6 }) == RequestId { 6 }); // nobody wants it: cancel the run
+    CHECK_FALSE(leave(it, { 7 }));
+    CHECK(leave(it, { 6 }) == RequestId { 6 }); // nobody wants it: cancel the run
     CHECK(join(it, key, { 8 }));
     CHECK(ended(it, { 4 }) == std::vector<RequestId> { { 4 } });
     CHECK(ended(it, { 5 }) == std::vector<RequestId> { { 5 } });
     CHECK(ended(it, { 8 }) == std::vector<RequestId> { { 8 } });
-    CHECK(it.flights.empty());
-    CHECK(it.byRequest.empty());
+    CHECK(it.sharedRuns.empty());
+    CHECK(it.keyByRequest.empty());
 }
--- a/tests/formation_test.cpp
+++ b/tests/formation_test.cpp
@@ -187,7 +187,7 @@
 
 TEST_CASE("a part of a route's traffic gets its weight, also over few requests", "[policy][split]")
 {
-    policy::SplitTurns turns;
+    policy::SplitCredits turns;
     const std::vector<config::RouteSplit> splits { { { "a" }, 90 }, { { "b" }, 10 }, { { "c" }, 0 } };
     std::map<std::string, int> got;
     for (int n = 0; n < 20; ++n)
--- a/tests/load_model.h
+++ b/tests/load_model.h
@@ -36,24 +36,24 @@
     Time from {};
     Time to { 1 << 30 };
     bool internal = false;
-    bool comesBack = false; // once, when a refusal said so
+    bool retriesAfterRefusal = false; // once, when a refusal said so
     int zone = 0; // of the caller's node
     int callers = 1; // that ask in turn
-    Duration tryTimeout {}; // of one try; zero: the whole time
+    Duration attemptTimeout {}; // of one try; zero: the whole time
     double spread = 0; // of the runs' logarithms; 0: runs are exponential
-    Duration aim {}; // within which an answer is worth most; zero: not said
+    Duration targetLatency {}; // within which an answer is worth most; zero: not said
     uint64_t answerBytes = 0;
 };
 
 struct Tally { // of one stream
     int offered = 0;
     int inTime = 0;
-    int inAim = 0;
+    int inTarget = 0;
     int late = 0; // gave up at the deadline without an answer
     int refused = 0;
     int failed = 0; // answered with an error
-    int back = 0; // came back when told
-    int backInTime = 0;
+    int retried = 0; // came back when told
+    int retriedInTime = 0;
     std::vector<int64_t> waits; // of those answered in time: sending to answer
     std::vector<int64_t> refusedAfter; // sending to refusal
 
@@ -61,13 +61,13 @@
     {
         offered += it.offered;
         inTime += it.inTime;
-        inAim += it.inAim;
+        inTarget += it.inTarget;
         late += it.late;
         refused += it.refused;
         failed += it.failed;
         return *this;
     }
-    double shareInAim() const { return offered ? static_cast<double>(inAim) / offered : 1; }
+    double shareInTarget() const { return offered ? static_cast<double>(inTarget) / offered : 1; }
     double goodput() const { return offered ? static_cast<double>(inTime) / offered : 1; }
 };
 
@@ -94,14 +94,14 @@
     int zone = 0;
     std::function<double(int running, Time now)> slowdown = [](int, Time) { return 1.0; };
     std::function<bool(const std::string& route, Time now)> fails = [](const std::string&, Time) { return false; }; // at once
-    double hiccups = 0; // share of runs that take fifty times as long, whatever the load
+    double pauseShare = 0; // share of runs that take fifty times as long, whatever the load
     std::string version = "v1";
     Time from {}; // announced to callers' nodes
     Admission admission;
     std::deque<size_t> fifo;
     int running = 0;
     int taken = 0; // requests that reached it
-    bool ticks = false; // a tick is due
+    bool tickScheduled = false; // a tick is due
 };
 
 struct Model {
@@ -111,7 +111,7 @@
     RetryBudget budget;
     bool hedging = false;
     HedgeBudget hedges;
-    SlowAnswer slowAnswer;
+    LatencyEstimate slowAnswer;
     int sent = 0; // tries of all kinds
     int crossed = 0; // of these, to another availability zone
     Duration roundTrip { 0 }; // between two availability zones
@@ -127,11 +127,11 @@
         Time deadline;
         bool returned = false;
         bool open = true; // no final outcome yet
-        std::vector<size_t> tries; // those not ended
-        int sentTries = 0;
+        std::vector<size_t> attempts; // those not ended
+        int sentAttempts = 0;
         std::vector<base::HostId> tried;
     };
-    struct Try {
+    struct Attempt {
         size_t call = 0;
         size_t upstream = 0;
         Time sent;
@@ -142,7 +142,7 @@
         Duration ran {}; // at the upstream, once it ended
     };
     std::vector<Call> calls;
-    std::vector<Try> tries; // RequestId is the index
+    std::vector<Attempt> attempts; // RequestId is the index
     Time now {};
 
     void at(Time when, std::function<void()> what) { m_events.push({ when, m_sequence++, std::move(what) }); }
@@ -151,7 +151,7 @@
     {
         tallies.resize(streams.size());
         for (Upstream& it : upstreams)
-            announce(it.admission.slots, it.slots);
+            setAnnounced(it.admission.slots, it.slots);
         setUpRouters();
         for (size_t n = 0; n < streams.size(); ++n) {
             m_next.push_back(static_cast<double>(streams[n].from.ms));
@@ -214,8 +214,8 @@
         if (now > streams[n].to)
             return;
         ++tallies[n].offered;
-        earn(budget);
-        earn(hedges);
+        accrue(budget);
+        accrue(hedges);
         call(n, false);
         at(next(n), [this, n] { arrive(n); });
     }
@@ -226,10 +226,10 @@
         calls.push_back({ n, now, now + streams[n].timeout, returned, true, {}, 0, {} });
         at(calls[id].deadline, [this, id] { giveUp(id); });
         send(id);
-        const auto hedge = hedging ? hedgeAfter(true, slowAnswer, calls[id].deadline, now) : std::nullopt;
+        const auto hedge = hedging ? hedgeDelay(true, slowAnswer, calls[id].deadline, now) : std::nullopt;
         if (hedge)
             at(now + *hedge, [this, id] {
-                if (calls[id].open && calls[id].tries.size() == 1 && takeHedge(hedges))
+                if (calls[id].open && calls[id].attempts.size() == 1 && acquireHedge(hedges))
                     send(id);
             });
     }
@@ -243,35 +243,35 @@
         const std::optional<size_t> chosen = choose(it);
         if (!chosen)
             return finish(callId, Outcome::Refused, Duration {});
-        const size_t id = tries.size();
-        tries.push_back({ callId, *chosen, now, {}, it.sentTries == 0, true, false, {} });
-        it.tries.push_back(id);
+        const size_t id = attempts.size();
+        attempts.push_back({ callId, *chosen, now, {}, it.sentAttempts == 0, true, false, {} });
+        it.attempts.push_back(id);
         it.tried.push_back({ std::to_string(*chosen) });
-        ++it.sentTries;
+        ++it.sentAttempts;
         ++sent;
         crossed += stream.zone == upstreams[*chosen].zone ? 0 : 1;
-        at(now + wayBetween(stream.zone, upstreams[*chosen].zone) / 2, [this, id] { reach(id); });
-        if (stream.tryTimeout.ms > 0)
-            at(now + stream.tryTimeout, [this, id] { abandon(id, AnswerKind::Silent); });
+        at(now + networkDelay(stream.zone, upstreams[*chosen].zone) / 2, [this, id] { reach(id); });
+        if (stream.attemptTimeout.ms > 0)
+            at(now + stream.attemptTimeout, [this, id] { abandon(id, AnswerKind::Silent); });
     }
 
-    Duration wayBetween(int a, int b) const { return a == b ? Duration { 0 } : roundTrip; }
+    Duration networkDelay(int a, int b) const { return a == b ? Duration { 0 } : roundTrip; }
 
     std::optional<size_t> choose(const Call& it)
     {
         if (choosing == Choosing::RoundRobin)
             return m_turn++ % upstreams.size();
         const Stream& stream = streams[it.stream];
-        std::optional<Duration> within;
-        if (stream.aim.ms > 0)
-            within = (now < it.sent + stream.aim ? it.sent + stream.aim : it.deadline) - now;
-        const auto picked = pick(routers[stream.zone], { { stream.route }, it.tried, {}, true, within }, now, random());
+        std::optional<Duration> remainingTarget;
+        if (stream.targetLatency.ms > 0)
+            remainingTarget = (now < it.sent + stream.targetLatency ? it.sent + stream.targetLatency : it.deadline) - now;
+        const auto picked = pick(routers[stream.zone], { { stream.route }, it.tried, {}, true, remainingTarget }, now, random());
         return picked ? std::optional<size_t>(std::stoul(picked->host.text)) : std::nullopt;
     }
 
     void reach(size_t id)
     {
-        Try& it = tries[id];
+        Attempt& it = attempts[id];
         Upstream& up = upstreams[it.upstream];
         if (!it.open)
             return;
@@ -285,12 +285,12 @@
         const Stream& stream = streams[of.stream];
         const std::string caller = stream.caller + std::to_string(it.call % static_cast<size_t>(stream.callers));
         const Duration expected { std::max<int64_t>(1, std::llround(stream.meanRun)) };
-        const std::optional<Time> fullWorthBy = stream.aim.ms > 0 ? std::optional(of.sent + stream.aim) : std::nullopt;
+        const std::optional<Time> targetDeadline = stream.targetLatency.ms > 0 ? std::optional(of.sent + stream.targetLatency) : std::nullopt;
         const Decision decision
-            = offer(up.admission, { { id }, { caller }, { stream.route }, stream.priority, expected, of.deadline, stream.internal, fullWorthBy }, now);
-        if (decision.verdict == Verdict::Run)
+            = offer(up.admission, { { id }, { caller }, { stream.route }, stream.priority, expected, of.deadline, stream.internal, targetDeadline }, now);
+        if (decision.action == AdmissionAction::Run)
             begin(id);
-        if (decision.verdict == Verdict::Refuse)
+        if (decision.action == AdmissionAction::Refuse)
             refuse(decision.refusal);
         for (const Refusal& other : decision.displaced)
             refuse(other);
@@ -299,11 +299,11 @@
 
     void scheduleTick(size_t n)
     {
-        if (upstreams[n].ticks)
+        if (upstreams[n].tickScheduled)
             return;
-        upstreams[n].ticks = true;
+        upstreams[n].tickScheduled = true;
         at(nextTick(upstreams[n].admission, now), [this, n] {
-            upstreams[n].ticks = false;
+            upstreams[n].tickScheduled = false;
             follow(tick(upstreams[n].admission, now));
             if (load(upstreams[n].admission, now).waiting > 0)
                 scheduleTick(n);
@@ -315,7 +315,7 @@
         while (up.running < up.slots && !up.fifo.empty()) {
             const size_t id = up.fifo.front();
             up.fifo.pop_front();
-            if (queueing == Queueing::FifoDropping && !tries[id].open)
+            if (queueing == Queueing::FifoDropping && !attempts[id].open)
                 continue;
             begin(id);
         }
@@ -323,7 +323,7 @@
 
     void begin(size_t id)
     {
-        Try& it = tries[id];
+        Attempt& it = attempts[id];
         Upstream& up = upstreams[it.upstream];
         const Stream& stream = streams[calls[it.call].stream];
         ++up.running;
@@ -331,7 +331,7 @@
         it.running = true;
         const bool fails = up.fails(stream.route, now);
         double mean = fails ? 1 : stream.meanRun * up.slowdown(up.running, now);
-        if (up.hiccups > 0 && std::bernoulli_distribution(up.hiccups)(random))
+        if (up.pauseShare > 0 && std::bernoulli_distribution(up.pauseShare)(random))
             mean *= 50;
         const double run = stream.spread > 0 ? std::lognormal_distribution<>(std::log(mean) - stream.spread * stream.spread / 2, stream.spread)(random)
                                              : std::exponential_distribution<>(1 / mean)(random);
@@ -341,7 +341,7 @@
 
     void end(size_t id, bool fails)
     {
-        Try& it = tries[id];
+        Attempt& it = attempts[id];
         if (!it.running)
             return;
         Upstream& up = upstreams[it.upstream];
@@ -353,13 +353,13 @@
             follow(finished(up.admission, { id }, fails ? RunEnd::Failed : RunEnd::Good, ran, now));
         else
             startFifo(up);
-        const Duration way = wayBetween(streams[calls[it.call].stream].zone, up.zone);
-        at(now + (way - way / 2), [this, id, fails] { arriveBack(id, fails); });
+        const Duration delay = networkDelay(streams[calls[it.call].stream].zone, up.zone);
+        at(now + (delay - delay / 2), [this, id, fails] { arriveBack(id, fails); });
     }
 
     void arriveBack(size_t id, bool fails)
     {
-        const Try& it = tries[id];
+        const Attempt& it = attempts[id];
         if (!it.open)
             return;
         settle(id, fails ? AnswerKind::Failed : AnswerKind::Good);
@@ -372,10 +372,10 @@
     // A try is over; its caller's node learns from it.
     void settle(size_t id, AnswerKind kind)
     {
-        Try& it = tries[id];
+        Attempt& it = attempts[id];
         it.open = false;
         Call& of = calls[it.call];
-        std::erase(of.tries, id);
+        std::erase(of.attempts, id);
         if (it.isFirst && (kind == AnswerKind::Good || kind == AnswerKind::Cancelled))
             observe(slowAnswer, now - it.sent);
         if (choosing != Choosing::Routing)
@@ -393,24 +393,24 @@
 
     void refuse(const Refusal& refusal)
     {
-        const size_t callId = tries[refusal.id.value].call;
+        const size_t callId = attempts[refusal.id.value].call;
         settle(refusal.id.value, AnswerKind::Refused);
         if (!again(callId, refusal.code, false))
             finish(callId, Outcome::Refused, refusal.retryAfter);
     }
 
     // True: another try is on its way, or still under way.
-    bool again(size_t callId, base::Code code, bool refusedBelow)
+    bool again(size_t callId, base::Code code, bool refusedDownstream)
     {
         const Call& it = calls[callId];
-        if (!it.open || !it.tries.empty())
+        if (!it.open || !it.attempts.empty())
             return true;
-        if (retrying == Retrying::None || (retrying == Retrying::Unbounded && it.sentTries >= 3))
+        if (retrying == Retrying::None || (retrying == Retrying::Unbounded && it.sentAttempts >= 3))
             return false;
         Duration after {};
         if (retrying == Retrying::Budget) {
             const Duration expected { std::llround(streams[it.stream].meanRun) };
-            const RetryDecision decision = mayRetry(budget, { true, code, refusedBelow, it.sentTries, it.deadline, expected }, now, random());
+            const RetryDecision decision = mayRetry(budget, { true, code, refusedDownstream, it.sentAttempts, it.deadline, expected }, now, random());
             if (!decision.retry)
                 return false;
             after = decision.after;
@@ -422,7 +422,7 @@
     // The node has given up on this try: the upstream is told, and the slot is free where it listens.
     void abandon(size_t id, AnswerKind kind)
     {
-        Try& it = tries[id];
+        Attempt& it = attempts[id];
         if (!it.open)
             return;
         const size_t callId = it.call;
@@ -458,16 +458,16 @@
         const size_t n = it.stream;
         const bool returned = it.returned;
         const Duration waited = now - it.sent;
-        const std::vector<size_t> left = it.tries;
+        const std::vector<size_t> left = it.attempts;
         for (const size_t id : left)
             abandon(id, outcome == Outcome::Late ? AnswerKind::Silent : AnswerKind::Cancelled);
         Tally& tally = tallies[n];
         if (returned) {
-            tally.backInTime += outcome == Outcome::Good ? 1 : 0;
+            tally.retriedInTime += outcome == Outcome::Good ? 1 : 0;
             return;
         }
         tally.inTime += outcome == Outcome::Good ? 1 : 0;
-        tally.inAim += outcome == Outcome::Good && (streams[n].aim.ms == 0 || waited <= streams[n].aim) ? 1 : 0;
+        tally.inTarget += outcome == Outcome::Good && (streams[n].targetLatency.ms == 0 || waited <= streams[n].targetLatency) ? 1 : 0;
         tally.failed += outcome == Outcome::Failed ? 1 : 0;
         tally.refused += outcome == Outcome::Refused ? 1 : 0;
         tally.late += outcome == Outcome::Late ? 1 : 0;
@@ -475,17 +475,17 @@
             tally.waits.push_back(waited.ms);
         if (outcome == Outcome::Refused)
             tally.refusedAfter.push_back(waited.ms);
-        if (outcome == Outcome::Refused && streams[n].comesBack && retryAfter.ms > 0) {
-            ++tally.back;
+        if (outcome == Outcome::Refused && streams[n].retriesAfterRefusal && retryAfter.ms > 0) {
+            ++tally.retried;
             at(now + retryAfter, [this, n] { call(n, true); });
         }
     }
 
-    void follow(const Followup& followup)
+    void follow(const AdmissionChanges& changes)
     {
-        for (const RequestId id : followup.start)
+        for (const RequestId id : changes.start)
             begin(id.value);
-        for (const Refusal& refusal : followup.refused)
+        for (const Refusal& refusal : changes.refused)
             refuse(refusal);
     }
 };
--- a/tests/retry_test.cpp
+++ b/tests/retry_test.cpp
@@ -23,12 +23,12 @@
         std::puts(text.c_str());
 }
 
-FailedTry failedTry(Code code, bool idempotent, int tries = 1)
+FailedAttempt failedTry(Code code, bool idempotent, int attempts = 1)
 {
-    FailedTry it;
+    FailedAttempt it;
     it.code = code;
     it.idempotent = idempotent;
-    it.tries = tries;
+    it.attempts = attempts;
     it.deadline = Time { 1000 };
     return it;
 }
@@ -38,27 +38,27 @@
     std::vector<RetryBudget> budgets; // one for each layer; empty: three tries each
     bool stopsAbove = true; // whether the header that stops retries above is sent
     Code bottom = Code::Overloaded; // what the lowest service always answers
-    int asked = 0;
+    int calls = 0;
 
     struct Answer {
         Code code;
-        bool refusedBelow;
+        bool refusedDownstream;
     };
-    Answer ask(size_t layer, size_t depth)
+    Answer call(size_t layer, size_t depth)
     {
         if (layer == depth) {
-            ++asked;
+            ++calls;
             return { bottom, false };
         }
         if (!budgets.empty())
-            earn(budgets[layer]);
-        for (int tries = 1;; ++tries) {
-            const Answer answer = ask(layer + 1, depth);
-            FailedTry failed = failedTry(answer.code, true, tries);
-            failed.refusedBelow = answer.refusedBelow;
-            const bool again = budgets.empty() ? tries < 3 : mayRetry(budgets[layer], failed, Time { 0 }, 0).retry;
+            accrue(budgets[layer]);
+        for (int attempts = 1;; ++attempts) {
+            const Answer answer = call(layer + 1, depth);
+            FailedAttempt failed = failedTry(answer.code, true, attempts);
+            failed.refusedDownstream = answer.refusedDownstream;
+            const bool again = budgets.empty() ? attempts < 3 : mayRetry(budgets[layer], failed, Time { 0 }, 0).retry;
             if (!again)
-                return { answer.code, stopsAbove && (answer.refusedBelow || stopsRetriesAbove(answer.code)) };
+                return { answer.code, stopsAbove && (answer.refusedDownstream || stopsRetriesAbove(answer.code)) };
         }
     }
 };
@@ -70,19 +70,19 @@
     // Dispatch asks the catalogue, that asks for route lists, and so on, seven deep; the last one is full or fails. With
     // three tries in each layer one click asks it 2187 times, and it never gets room to recover.
     const Code code = GENERATE(Code::Overloaded, Code::UpstreamBroke);
-    const auto asked = [&](Layers it) {
+    const auto calls = [&](Layers it) {
         it.bottom = code;
         for (int n = 0; n < 200; ++n)
-            it.ask(0, 7);
-        return it.asked;
+            it.call(0, 7);
+        return it.calls;
     };
     const std::vector<RetryBudget> budgets(7);
     Layers unbounded;
     unbounded.bottom = code;
-    unbounded.ask(0, 7);
-    CHECK(unbounded.asked == 2187);
-    CHECK(asked({ budgets, true, code, 0 }) <= 200 * 1.12); // a tenth more, and the three that a budget begins with
-    CHECK(asked({ budgets, false, code, 0 }) >= 200 * 1.5); // budgets alone still multiply, by a tenth in each layer
+    unbounded.call(0, 7);
+    CHECK(unbounded.calls == 2187);
+    CHECK(calls({ budgets, true, code, 0 }) <= 200 * 1.12); // a tenth more, and the three that a budget begins with
+    CHECK(calls({ budgets, false, code, 0 }) >= 200 * 1.5); // budgets alone still multiply, by a tenth in each layer
 }
 
 TEST_CASE("an upstream that stood still for a second gets over it", "[policy][burst]")
@@ -141,7 +141,7 @@
         model.hedging = hedging;
         model.upstreams.resize(6);
         for (Upstream& it : model.upstreams)
-            it.hiccups = 0.01;
+            it.pauseShare = 0.01;
         for (Upstream& it : model.upstreams)
             it.slowdown = [allPause](int, Time now) { return allPause && now.ms % 3000 < 500 ? 25.0 : 1.0; };
         model.streams = { { "agents", "berth", Priority::Read, perSecond, 20, Duration { 1000 }, {}, Time { 1 << 30 }, false, false, 0, 50 } };
@@ -171,8 +171,8 @@
     // A plug disconnect that may have run must never be sent twice, whatever broke; a page load may.
     struct Row {
         Code code;
-        int tries;
-        bool refusedBelow;
+        int attempts;
+        bool refusedDownstream;
         bool command; // retried if not idempotent
         bool read; // retried if idempotent
     };
@@ -202,11 +202,11 @@
         { Code::Internal, 1, false, false, false },
     };
     for (const Row& row : rows) {
-        INFO(base::info(row.code).name << " tries " << row.tries << " refused below " << row.refusedBelow);
+        INFO(base::info(row.code).name << " tries " << row.attempts << " refused below " << row.refusedDownstream);
         for (const bool idempotent : { false, true }) {
             RetryBudget budget;
-            FailedTry failed = failedTry(row.code, idempotent, row.tries);
-            failed.refusedBelow = row.refusedBelow;
+            FailedAttempt failed = failedTry(row.code, idempotent, row.attempts);
+            failed.refusedDownstream = row.refusedDownstream;
             CHECK(mayRetry(budget, failed, Time { 0 }, 1).retry == (idempotent ? row.read : row.command));
             failed.deadline = Time { 15 }; // less than a usual answer takes
             CHECK_FALSE(mayRetry(budget, failed, Time { 0 }, 1).retry);
@@ -238,16 +238,16 @@
     // the next one; refused, they wait for seconds beside idle upstreams.
     RetryBudget budget;
     budget.tokens = 0;
-    FailedTry failed;
+    FailedAttempt failed;
     failed.code = Code::NoUpstream;
     failed.idempotent = false;
-    failed.tries = 1;
-    failed.mostTries = 1;
+    failed.attempts = 1;
+    failed.maxAttempts = 1;
     failed.deadline = Time { 1000 };
     CHECK(mayRetry(budget, failed, Time { 0 }, 1).retry);
-    failed.tries = 3;
+    failed.attempts = 3;
     CHECK_FALSE(mayRetry(budget, failed, Time { 0 }, 1).retry);
-    failed.tries = 1;
+    failed.attempts = 1;
     failed.code = Code::NoRoute;
     CHECK_FALSE(mayRetry(budget, failed, Time { 0 }, 1).retry);
 }
--- a/tests/routing_fuzz_test.cpp
+++ b/tests/routing_fuzz_test.cpp
@@ -20,14 +20,14 @@
 
 struct Known { // what was last announced of a host, by the latest (incarnation, sequence)
     config::Endpoint endpoint;
-    bool toldDraining = false; // by an answer
+    bool reportedDraining = false; // by an answer
 };
 
 struct Oracle {
     int unused = 0;
 };
 
-struct World {
+struct Simulation {
     Router router;
     Time now {};
     std::map<std::string, Known> known;
@@ -40,7 +40,7 @@
 
 std::string versionOf(int host) { return host % 3 == 0 ? "new" : "old"; }
 
-using Command = rc::state::Command<Oracle, World>;
+using Command = rc::state::Command<Oracle, Simulation>;
 
 struct Announce : Command {
     int host = *rc::gen::inRange(0, hostCount);
@@ -48,7 +48,7 @@
     uint64_t sequence = static_cast<uint64_t>(*rc::gen::inRange(1, 6));
     config::EndpointState state = *rc::gen::element(config::EndpointState::Ready, config::EndpointState::Ready,
         config::EndpointState::Ready, config::EndpointState::Starting, config::EndpointState::Draining);
-    void run(const Oracle&, World& it) const override
+    void run(const Oracle&, Simulation& it) const override
     {
         const std::string name = std::to_string(host);
         const config::Endpoint endpoint { { name }, { "s" }, { versionOf(host) }, { host % 2 ? "a" : "b" }, {}, {}, 10, state,
@@ -59,7 +59,7 @@
         if (at != it.known.end() && order(endpoint) <= order(at->second.endpoint))
             return;
         const bool restarted = at == it.known.end() || at->second.endpoint.incarnation != endpoint.incarnation;
-        it.known[name] = { endpoint, restarted ? false : at->second.toldDraining };
+        it.known[name] = { endpoint, restarted ? false : at->second.reportedDraining };
     }
     void show(std::ostream& out) const override { out << "announce " << host << " " << incarnation << "." << sequence; }
 };
@@ -67,7 +67,7 @@
 struct Share : Command {
     int ofNew = *rc::gen::element(0, 50, 500, 1000);
     uint64_t seed = *rc::gen::arbitrary<uint64_t>();
-    void run(const Oracle&, World& it) const override
+    void run(const Oracle&, Simulation& it) const override
     {
         setShares(it.router, std::vector<config::VersionShare> { { { "new" }, { ofNew } }, { { "old" }, { 1000 - ofNew } } }, seed);
         it.shares = { { "new", ofNew }, { "old", 1000 - ofNew } };
@@ -80,7 +80,7 @@
     std::string route = *rc::gen::element<std::string>("a", "b");
     uint64_t random = *rc::gen::arbitrary<uint64_t>();
     int excluded = *rc::gen::inRange(0, 2 * hostCount); // as often none
-    void run(const Oracle&, World& it) const override
+    void run(const Oracle&, Simulation& it) const override
     {
         const std::vector<base::HostId> tried { { std::to_string(excluded) } };
         const auto chosen = pick(it.router, { { route }, tried, {} }, it.now, random);
@@ -93,7 +93,7 @@
         RC_ASSERT(host != tried[0].text);
         RC_ASSERT(it.known.count(host) == 1);
         RC_ASSERT(it.known.at(host).endpoint.state == config::EndpointState::Ready);
-        RC_ASSERT(!it.known.at(host).toldDraining);
+        RC_ASSERT(!it.known.at(host).reportedDraining);
         RC_ASSERT(chosen->version.text == versionOf(std::stoi(host)));
         ++it.inFlight[host];
         ++counts[chosen->version.text];
@@ -115,7 +115,7 @@
         AnswerKind::Good, AnswerKind::Good, AnswerKind::Failed, AnswerKind::Refused, AnswerKind::Silent, AnswerKind::Cancelled);
     bool draining = *rc::gen::inRange(0, 12) == 0;
     std::string route = *rc::gen::element<std::string>("a", "b");
-    void run(const Oracle&, World& it) const override
+    void run(const Oracle&, Simulation& it) const override
     {
         std::erase_if(it.inFlight, [](const auto& entry) { return entry.second == 0; });
         if (it.inFlight.empty())
@@ -126,7 +126,7 @@
         load.slots = 10;
         load.draining = draining;
         answered(it.router, { { at->first }, { route }, kind, Duration { ms }, load }, it.now);
-        it.known.at(at->first).toldDraining = draining;
+        it.known.at(at->first).reportedDraining = draining;
         RC_ASSERT(it.router.targets.at({ at->first }).inFlight == at->second);
     }
     void show(std::ostream& out) const override { out << "answer " << which << " after " << ms; }
@@ -134,7 +134,7 @@
 
 struct Pass : Command {
     int ms = *rc::gen::inRange(0, 3000);
-    void run(const Oracle&, World& it) const override { it.now = it.now + Duration { ms }; }
+    void run(const Oracle&, Simulation& it) const override { it.now = it.now + Duration { ms }; }
     void show(std::ostream& out) const override { out << "pass " << ms; }
 };
 
@@ -148,12 +148,12 @@
     int none = 0;
     const bool held = rc::check("routing", [&] {
         for (int n = 0; n < 10; ++n) {
-            World world;
-            world.router.zone = { "a" };
-            rc::state::check(Oracle {}, world,
+            Simulation simulation;
+            simulation.router.zone = { "a" };
+            rc::state::check(Oracle {}, simulation,
                 rc::state::gen::execOneOfWithArgs<Announce, Announce, Share, Picks, Picks, Picks, Picks, Picks, Answer, Answer, Answer, Pass>());
-            picked += world.picked;
-            none += world.none;
+            picked += simulation.picked;
+            none += simulation.none;
         }
     });
     CHECK(held);
@@ -196,13 +196,13 @@
                 const int of = at->second;
                 waiting.erase(id);
                 const bool last = std::none_of(waiting.begin(), waiting.end(), [of](const auto& entry) { return entry.second == of; });
-                const auto cancelledRun = left(it, { id });
+                const auto cancelledRun = leave(it, { id });
                 RC_ASSERT(cancelledRun.has_value() == last);
                 if (last)
                     runOf.erase(of);
             }
         }
-        RC_ASSERT(it.flights.size() == runOf.size());
+        RC_ASSERT(it.sharedRuns.size() == runOf.size());
     });
     CHECK(held);
 }
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -108,7 +108,7 @@
 TEST_CASE("a slow upstream loses its traffic within tens of answers", "[policy][slow-upstream]")
 {
     Router it = routerOf({ endpoint("1", "v"), endpoint("2", "v"), endpoint("3", "v") });
-    const auto ask = [&](int count, bool slow, Time from) {
+    const auto send = [&](int count, bool slow, Time from) {
         int toSlow = 0;
         for (int n = 0; n < count; ++n) {
             const Time now = from + Duration { n * 10 };
@@ -119,10 +119,10 @@
         }
         return toSlow;
     };
-    CHECK(ask(300, false, Time { 0 }) >= 60);
-    CHECK(ask(60, true, Time { 3000 }) <= 6); // of 20
-    CHECK(ask(60, true, Time { 3600 }) <= 2);
-    CHECK(ask(1500, false, Time { 4200 }) >= 200); // well again: tried, and back
+    CHECK(send(300, false, Time { 0 }) >= 60);
+    CHECK(send(60, true, Time { 3000 }) <= 6); // of 20
+    CHECK(send(60, true, Time { 3600 }) <= 2);
+    CHECK(send(1500, false, Time { 4200 }) >= 200); // well again: tried, and back
 }
 
 TEST_CASE("all callers of one availability zone come at once", "[policy][burst]")
@@ -172,28 +172,28 @@
     // Two of six berth-side upstreams run on old hosts at half the speed, one on a new one at half as much again. Taken for
     // equals, the old ones are kept as full as the others, and crews whose switch goes there wait through its run.
     for (const double load : { 0.5, 0.7, 0.85, 1.1, 1.5, 2.0 }) {
-        const auto day = [&](bool speeds, bool timelyFirst, uint64_t seed) {
+        const auto simulate = [&](bool useRunTimes, bool prioritizeTimely, uint64_t seed) {
             Model model = mesh(6, 9, Duration { 3 });
             model.random.seed(seed);
             const double speedOf[] = { 0.5, 1, 1, 1.5, 0.5, 1 };
             for (size_t n = 0; n < 6; ++n) {
                 model.upstreams[n].slowdown = [slower = 1 / speedOf[n]](int, Time) { return slower; };
-                model.upstreams[n].admission.parts.timelyFirst = timelyFirst;
+                model.upstreams[n].admission.options.prioritizeTimely = prioritizeTimely;
             }
             for (int zone = 0; zone < 3; ++zone) {
                 model.routers.resize(3);
-                model.routers[static_cast<size_t>(zone)].parts.speeds = speeds;
+                model.routers[static_cast<size_t>(zone)].options.useRunTimes = useRunTimes;
                 Stream stream { "masters", "meter", Priority::Read, load * 5.5 * 9 / 0.22 / 3, 220, Duration { 4000 }, {}, Time { 1 << 30 }, false, false, zone, 50 };
                 stream.spread = 0.3;
-                stream.aim = { 600 };
+                stream.targetLatency = { 600 };
                 model.streams.push_back(stream);
             }
             model.run(Duration { 60'000 });
-            show(speeds ? "by speed" : "as equals", model);
+            show(useRunTimes ? "by speed" : "as equals", model);
             Tally sum;
             for (const Tally& it : model.tallies) {
                 sum.offered += it.offered;
-                sum.inAim += it.inAim;
+                sum.inTarget += it.inTarget;
                 sum.inTime += it.inTime;
             }
             return sum;
@@ -202,16 +202,16 @@
         Tally equals; // with the same order at the owners as `after`
         Tally after;
         for (uint64_t seed = 11; seed < 15; ++seed) { // one day's luck moves a total by one in a hundred
-            before += day(false, false, seed);
-            equals += day(false, true, seed);
-            after += day(true, true, seed);
+            before += simulate(false, false, seed);
+            equals += simulate(false, true, seed);
+            after += simulate(true, true, seed);
         }
-        INFO("load " << load << ": within their aim " << before.inAim << " of " << before.offered << " before, " << after.inAim << " after; at all " << before.inTime << " and " << after.inTime);
-        CHECK(after.shareInAim() >= before.shareInAim() * (load < 1 ? 1.02 : 1.0));
+        INFO("load " << load << ": within their aim " << before.inTarget << " of " << before.offered << " before, " << after.inTarget << " after; at all " << before.inTime << " and " << after.inTime);
+        CHECK(after.shareInTarget() >= before.shareInTarget() * (load < 1 ? 1.02 : 1.0));
         CHECK(after.goodput() >= before.goodput() * 0.99);
         CHECK(after.goodput() >= equals.goodput() * 0.99);
         if (load < 1)
-            CHECK(after.shareInAim() >= equals.shareInAim() * 1.02);
+            CHECK(after.shareInTarget() >= equals.shareInTarget() * 1.02);
     }
 }
 
@@ -221,33 +221,33 @@
     // expected time alone, zones with a slow one send nearly all pages across, which operators pay for, and the quick one
     // fills up; kept at home at any price, a page in ten comes late beside idle slots.
     for (const double load : { 0.4, 0.6, 0.8, 1.2 }) {
-        const auto day = [&](bool worth) {
+        const auto simulate = [&](bool useTargetLatency) {
             Model model = mesh(3, 6, Duration { 1 });
             const double slower[] = { 0.5, 1, 1.5 };
             model.routers.resize(3);
             for (int zone = 0; zone < 3; ++zone) {
                 model.upstreams[static_cast<size_t>(zone)].slowdown = [times = slower[zone]](int, Time) { return times; };
-                model.routers[static_cast<size_t>(zone)].parts.worth = worth;
+                model.routers[static_cast<size_t>(zone)].options.useTargetLatency = useTargetLatency;
                 Stream stream { "offices", "form", Priority::Read, load * 6 * (1 / 0.5 + 1 + 1 / 1.5) / 0.22 / 3, 220, Duration { 2500 }, {}, Time { 1 << 30 }, false, false, zone, 30 };
                 stream.spread = 0.8;
-                stream.aim = { 600 };
+                stream.targetLatency = { 600 };
                 stream.answerBytes = 5000;
                 model.streams.push_back(stream);
             }
             model.run(Duration { 60'000 });
-            int inAim = 0;
+            int inTarget = 0;
             int offered = 0;
             for (const Tally& it : model.tallies) {
-                inAim += it.inAim;
+                inTarget += it.inTarget;
                 offered += it.offered;
             }
-            UNSCOPED_INFO("load " << load << (worth ? " by worth: " : " by time: ") << inAim << " of " << offered << " in aim, " << model.crossed << " crossed");
+            UNSCOPED_INFO("load " << load << (useTargetLatency ? " by worth: " : " by time: ") << inTarget << " of " << offered << " in aim, " << model.crossed << " crossed");
             if (std::getenv("SHOW"))
-                std::printf("load %.1f %s: %d of %d in aim, %d crossed\n", load, worth ? "worth" : "time", inAim, offered, model.crossed);
-            return std::pair(static_cast<double>(inAim) / offered, static_cast<double>(model.crossed) / offered);
+                std::printf("load %.1f %s: %d of %d in aim, %d crossed\n", load, useTargetLatency ? "worth" : "time", inTarget, offered, model.crossed);
+            return std::pair(static_cast<double>(inTarget) / offered, static_cast<double>(model.crossed) / offered);
         };
-        const auto [timelyBefore, crossedBefore] = day(false);
-        const auto [timelyAfter, crossedAfter] = day(true);
+        const auto [timelyBefore, crossedBefore] = simulate(false);
+        const auto [timelyAfter, crossedAfter] = simulate(true);
         const double cost = RoutingCosts {}.kilobyteAcrossZones * 5;
         CHECK(timelyAfter - crossedAfter * cost > timelyBefore - crossedBefore * cost); // what callers get, less what carrying it costs
         CHECK(timelyAfter >= timelyBefore - 0.01);
@@ -265,7 +265,7 @@
         std::map<base::HostId, int> inFlight;
         for (uint64_t n = 1; n <= 24; ++n) {
             for (const char* host : { "1", "2", "3" })
-                loadTold(it, { host }, { inFlight[{ host }], 0, 10, false, {}, host[0] == '3' ? warm : base::PerMille { 1000 } }, Time { 20'100 });
+                loadReported(it, { host }, { inFlight[{ host }], 0, 10, false, {}, host[0] == '3' ? warm : base::PerMille { 1000 } }, Time { 20'100 });
             const auto picked = pick(it, { { "r" }, {}, {} }, Time { 20'100 }, 0x9e3779b97f4a7c15ULL * n);
             ++inFlight[picked->host];
             toNew += picked->host.text == "3" ? 1 : 0;
@@ -412,7 +412,7 @@
     // The new version can't read the archives any more; its page loads are fine. Half of its upstreams would have to
     // fail before each is ejected by itself, and a third of them may be at most.
     const std::vector<config::Endpoint> hosts { endpoint("1", "old"), endpoint("2", "old"), endpoint("3", "new"), endpoint("4", "new") };
-    const auto ask = [&](const std::string& bad, int share) {
+    const auto send = [&](const std::string& bad, int share) {
         Router it = routerOf(hosts);
         setShares(it, std::vector<config::VersionShare> { { { "new" }, { share } }, { { "old" }, { 1000 - share } } }, 0);
         std::map<std::string, int> count;
@@ -427,9 +427,9 @@
         }
         return count;
     };
-    CHECK(ask("new", 500)["archive failed"] <= 12); // of 500: the five that show it, and the probes
-    CHECK(ask("new", 500)["berth new"] >= 480);
-    CHECK(ask("old", 200)["archive new"] <= 201); // the old one's failures don't raise the share of the one on trial
+    CHECK(send("new", 500)["archive failed"] <= 12); // of 500: the five that show it, and the probes
+    CHECK(send("new", 500)["berth new"] >= 480);
+    CHECK(send("old", 200)["archive new"] <= 201); // the old one's failures don't raise the share of the one on trial
 }
 
 TEST_CASE("an upstream whose slow answers are cancelled is seen as slow all the same", "[policy][slow-upstream]")
--- a/tests/full_worth_test.cpp
+++ b/tests/target_latency_test.cpp
@@ -16,26 +16,26 @@
 
 constexpr int slots = 6;
 constexpr Duration meanRun { 100 };
-constexpr Duration aim { 300 };
+constexpr Duration targetLatency { 300 };
 constexpr Duration deadline { 800 };
 constexpr Duration length { 30'000 };
 
 struct Result {
-    int asked = 0;
-    int inAim = 0;
+    int offered = 0;
+    int inTarget = 0;
     int late = 0;
 };
 
 // One upstream's node. Callers who are refused come back once, when they were told to or after a third of what they have
 // left, as members' phones do.
-class Day {
+class Simulation {
 public:
-    Day(double load, bool told, AdmissionParts parts = {})
+    Simulation(double load, bool reportTarget, AdmissionOptions options = {})
         : m_gap(static_cast<double>(meanRun.ms) / slots / load)
-        , m_told(told)
+        , m_reportTarget(reportTarget)
     {
-        m_admission.parts.timelyFirst = parts.timelyFirst;
-        m_admission.parts.backInTime = parts.backInTime;
+        m_admission.options.prioritizeTimely = options.prioritizeTimely;
+        m_admission.options.retryWithinTarget = options.retryWithinTarget;
         setSlots(m_admission, slots, { 0 });
     }
 
@@ -43,8 +43,8 @@
     {
         for (int n = 0; n < count; ++n)
             at(from, [this] {
-                ++m_result.asked;
-                ask({ m_now, false });
+                ++m_result.offered;
+                send({ m_now, false });
             });
     }
 
@@ -79,23 +79,23 @@
         if (ms >= static_cast<double>(length.ms))
             return;
         at(static_cast<int64_t>(ms), [this, ms] {
-            ++m_result.asked;
-            ask({ m_now, false });
+            ++m_result.offered;
+            send({ m_now, false });
             arrive(ms + std::exponential_distribution<>(1 / m_gap)(m_random));
         });
     }
 
-    void ask(Caller caller)
+    void send(Caller caller)
     {
         const RequestId id { ++m_lastId };
         m_callers[id] = caller;
         Arrival arrival { id, { "c" }, { "r" }, config::Priority::Read, meanRun, caller.first + deadline, false, {} };
-        if (m_told)
-            arrival.fullWorthBy = caller.first + aim;
+        if (m_reportTarget)
+            arrival.targetDeadline = caller.first + targetLatency;
         const Decision decision = offer(m_admission, arrival, m_now);
-        if (decision.verdict == Verdict::Run)
+        if (decision.action == AdmissionAction::Run)
             start(id);
-        if (decision.verdict == Verdict::Refuse)
+        if (decision.action == AdmissionAction::Refuse)
             refused(decision.refusal);
         for (const Refusal& it : decision.displaced)
             refused(it);
@@ -105,14 +105,14 @@
     {
         const auto ran = static_cast<int64_t>(std::lognormal_distribution<>(std::log(meanRun.ms) - 0.045, 0.3)(m_random));
         at(m_now.ms + ran, [this, id, ran] {
-            const Duration took = m_now - m_callers[id].first;
-            m_result.inAim += took <= aim ? 1 : 0;
-            m_result.late += took > aim && took <= deadline ? 1 : 0;
+            const Duration elapsed = m_now - m_callers[id].first;
+            m_result.inTarget += elapsed <= targetLatency ? 1 : 0;
+            m_result.late += elapsed > targetLatency && elapsed <= deadline ? 1 : 0;
             follow(finished(m_admission, id, RunEnd::Good, { ran }, m_now));
         });
     }
 
-    void follow(const Followup& it)
+    void follow(const AdmissionChanges& it)
     {
         for (const Refusal& each : it.refused)
             refused(each);
@@ -126,12 +126,12 @@
         const Duration left = caller.first + deadline - m_now;
         if (caller.back || left.ms < meanRun.ms)
             return;
-        at(m_now.ms + std::min(std::max<int64_t>(it.retryAfter.ms, 1), left.ms / 3), [this, caller] { ask({ caller.first, true }); });
+        at(m_now.ms + std::min(std::max<int64_t>(it.retryAfter.ms, 1), left.ms / 3), [this, caller] { send({ caller.first, true }); });
     }
 
     double m_gap;
-    bool m_told;
-    Admission m_admission { .parts = { .fairness = false, .longJobsBounded = false, .limitObserved = false } };
+    bool m_reportTarget;
+    Admission m_admission { .options = { .fairness = false, .limitLongJobs = false, .adaptiveLimit = false } };
     std::priority_queue<Event> m_events;
     std::map<RequestId, Caller> m_callers;
     std::mt19937_64 m_random { 5 };
@@ -149,16 +149,16 @@
     // answered after the page has stopped looking quick, and those behind them as well; refused at once, some of them come
     // back to a free slot.
     for (const double load : { 1.2, 1.5, 2.0 }) {
-        const Result before = Day(load, false).run();
-        const Result after = Day(load, true).run();
-        INFO("load " << load << ": in time " << before.inAim << " of " << before.asked << " and late " << before.late << " before, " << after.inAim << " and " << after.late << " after");
-        CHECK(after.inAim >= before.inAim * 1.04);
-        CHECK(after.inAim + after.late >= (before.inAim + before.late) * 0.97); // no capacity is lost for it
+        const Result before = Simulation(load, false).run();
+        const Result after = Simulation(load, true).run();
+        INFO("load " << load << ": in time " << before.inTarget << " of " << before.offered << " and late " << before.late << " before, " << after.inTarget << " and " << after.late << " after");
+        CHECK(after.inTarget >= before.inTarget * 1.04);
+        CHECK(after.inTarget + after.late >= (before.inTarget + before.late) * 0.97); // no capacity is lost for it
     }
-    const Result before = Day(0.7, false).run();
-    const Result after = Day(0.7, true).run();
-    CHECK(after.inAim >= before.inAim);
-    CHECK(after.inAim >= after.asked * 0.97); // no overload: nobody is turned away for it
+    const Result before = Simulation(0.7, false).run();
+    const Result after = Simulation(0.7, true).run();
+    CHECK(after.inTarget >= before.inTarget);
+    CHECK(after.inTarget >= after.offered * 0.97); // no overload: nobody is turned away for it
 }
 
 TEST_CASE("in an overload those who can still be answered in time do not stand behind those who cannot", "[policy][overload]")
@@ -166,32 +166,32 @@
     // After an outage everybody comes back at once. Those who were refused have little time left; let in again in the order in
     // which they come, they are answered late, and each of them makes one late who had just come.
     for (const double load : { 1.2, 1.5, 2.0 }) {
-        const Result before = Day(load, true, { .backInTime = false, .timelyFirst = false }).run();
-        const Result after = Day(load, true, { .backInTime = false }).run();
-        INFO("load " << load << ": in time " << before.inAim << " of " << before.asked << " and late " << before.late << " before, " << after.inAim << " and " << after.late << " after");
-        CHECK(after.inAim >= before.inAim * 1.1);
-        CHECK(after.inAim + after.late >= (before.inAim + before.late) * 0.95); // slots do not idle for it
+        const Result before = Simulation(load, true, { .retryWithinTarget = false, .prioritizeTimely = false }).run();
+        const Result after = Simulation(load, true, { .retryWithinTarget = false }).run();
+        INFO("load " << load << ": in time " << before.inTarget << " of " << before.offered << " and late " << before.late << " before, " << after.inTarget << " and " << after.late << " after");
+        CHECK(after.inTarget >= before.inTarget * 1.1);
+        CHECK(after.inTarget + after.late >= (before.inTarget + before.late) * 0.95); // slots do not idle for it
     }
-    const Result before = Day(0.7, true, { .backInTime = false, .timelyFirst = false }).run();
-    const Result after = Day(0.7, true, { .backInTime = false }).run();
-    CHECK(after.inAim + after.late >= before.inAim + before.late);
+    const Result before = Simulation(0.7, true, { .retryWithinTarget = false, .prioritizeTimely = false }).run();
+    const Result after = Simulation(0.7, true, { .retryWithinTarget = false }).run();
+    CHECK(after.inTarget + after.late >= before.inTarget + before.late);
 }
 
 TEST_CASE("callers who are refused come back while their answer is still worth most", "[policy][overload]")
 {
     // A quarter of a service is cold, or a page is opened in all offices at once. Told to come back when the whole rush is
     // over, callers come back too late for an answer that looks quick, and nearly all who could have been served a moment later are lost.
-    const auto day = [](double load, bool backInTime, int together) {
-        Day it(load, true, { .backInTime = backInTime });
+    const auto simulate = [](double load, bool retryWithinTarget, int together) {
+        Simulation it(load, true, { .retryWithinTarget = retryWithinTarget });
         for (int64_t from = 2000; together > 0 && from < 30'000; from += 2000)
             it.burst(from, together);
         return it.run();
     };
     for (const auto& [load, together] : { std::pair(0.5, 18), std::pair(0.7, 12), std::pair(1.2, 0), std::pair(1.5, 0), std::pair(2.0, 0) }) {
-        const Result before = day(load, false, together);
-        const Result after = day(load, true, together);
-        INFO("load " << load << ", " << together << " together: in time " << before.inAim << " of " << before.asked << " and late " << before.late << " before, " << after.inAim << " and " << after.late << " after");
-        CHECK(after.inAim >= before.inAim);
-        CHECK(after.inAim + after.late >= (before.inAim + before.late) * 0.97);
+        const Result before = simulate(load, false, together);
+        const Result after = simulate(load, true, together);
+        INFO("load " << load << ", " << together << " together: in time " << before.inTarget << " of " << before.offered << " and late " << before.late << " before, " << after.inTarget << " and " << after.late << " after");
+        CHECK(after.inTarget >= before.inTarget);
+        CHECK(after.inTarget + after.late >= (before.inTarget + before.late) * 0.97);
     }
 }
