--- a/bench/overload.cpp
+++ b/bench/overload.cpp
@@ -73,7 +73,7 @@
             stream.zone = zone;
             stream.callers = 200;
             const bool tries = variant.retrying == Retrying::Unbounded && kind.priority != Priority::Archive;
-            stream.tryTimeout = tries ? kind.timeout / 3 : Duration {};
+            stream.attemptTimeout = tries ? kind.timeout / 3 : Duration {};
             model.streams.push_back(stream);
         }
     return model;
