--- a/src/appletally/policy/admission.cpp
+++ b/src/appletally/policy/admission.cpp
@@ -1,4 +1,4 @@
-// The queue beside one upstream; see admission.h for the rules.
+// Queue of one upstream; see admission.h for the rules.
 #include "appletally/policy/admission.h"
 
 #include <algorithm>
@@ -14,39 +14,39 @@
 
     // A job ten times as long as the usual request (20 ms). One such job costs those behind it as much as ten others.
     constexpr base::Duration minLongRun { 200 };
-    constexpr double longJobShare = 0.3; // of the slots, while short requests come: 3 of 10, 2 of 6
-    constexpr base::Duration shortRequestMemory { 1000 }; // long jobs spread out only after this time without short ones
+    constexpr double longJobShare = 0.3; // of the slots, while short requests arrive: 3 of 10, 2 of 6
+    constexpr base::Duration shortRequestMemory { 1000 }; // long jobs use more slots only after this time without a short request
 
-    // A lower class's share of the slots while higher ones would take them all. Three such floors leave commands 70%
-    // of the slots; one slot of ten still moves an archive of half a second twice a second.
+    // Minimum share of the slots of each lower class while higher ones would take them all. Three such shares leave
+    // commands 70% of the slots; one slot of ten still runs an archive of half a second twice a second.
     constexpr double minShare = 0.1;
 
-    // How much of the time left a request may plan to wait. Estimates are means over few runs, so a queue that planned
-    // with all of it would refuse late, or answer late, each time that the runs turn out longer.
+    // The part of its remaining time that a request may plan to wait. Estimates are means over few runs, so a queue
+    // that planned with all of it would refuse late, or answer late, whenever runs turn out longer.
     constexpr double maxWaitShare = 0.35;
 
-    // Requests that may wait in one class: twice the connections that one upstream takes, 0.4 s of usual runs at 10
-    // slots. It bounds the node's memory and the cost of going through the queue. Each class has its own, or a queue
-    // full of reads would keep every archive out.
+    // Limit of waiting requests in one class: twice the connections that one upstream accepts, 0.4 s of usual runs at
+    // 10 slots. It bounds the node's memory and the cost of walking the queue. Each class has its own limit, or a queue
+    // full of reads would block every archive.
     constexpr size_t maxWaiting = 200;
 
-    // How many usual callers another service stands for: it asks for many people, yet must not push them out.
+    // Weight of another service, in usual callers: it sends requests for many people, but must not starve them.
     constexpr double internalWeight = 4;
 
-    // What the higher classes, and those that overtake, held lately counts this much more for one that is to be let in. They
-    // come in surges; let in on their mean, some reads are refused only when half of their callers' time is over.
+    // Factor on the recent slots of higher classes and on recent overtaking when a new request's wait is estimated.
+    // This load comes in bursts; estimated by its mean, some reads are refused only after half of their callers' time.
     constexpr double surgeMargin = 1.5;
 
-    constexpr base::Duration averagingWindow { 500 }; // of the moving mean; half a second of 10 slots is 250 usual runs
+    constexpr base::Duration averagingWindow { 500 }; // of the moving means; half a second of 10 slots is 250 usual runs
     constexpr base::Duration minRetryAfter { 20 };
-    constexpr base::Duration maxRetryAfter { 15'000 }; // beyond it, what is known now says nothing
+    constexpr base::Duration maxRetryAfter { 15'000 }; // estimates further ahead mean nothing
 
-    // Slot time set aside for each refused one that is told to come back, in its own runs: they get a third of the slots,
-    // since those who come for the first time need half of them, as planned for, and a full queue drains slowly.
+    // Slot time reserved for the retry of each refused request, in its own run times. Retries thus get a third of the
+    // slots: new requests need half of them, as planned for, and a full queue drains slowly.
     constexpr int64_t runsPerRetry = 3;
 
-    // The latest that a caller is told to come back, as a part of the time until its run must begin: the rest is for its way
-    // and for waiting for a slot.
+    // The latest retry time, as a part of the time until the run must begin: the rest is for the network and for
+    // waiting for a slot.
     constexpr double retryDelayShare = 0.8;
     constexpr base::Duration idleTickInterval { 1000 };
 
@@ -77,8 +77,8 @@
         return static_cast<int>(count);
     }
 
-    // How many of the slots long jobs may hold now. Without short requests they may have all but those kept for one
-    // that might come.
+    // The number of slots that long jobs may hold now. While no short requests arrive they may hold all but those kept
+    // free for one that might.
     int longSlots(const Admission& it, base::Time now)
     {
         const int limit = it.slots.limit;
@@ -96,7 +96,7 @@
         return !isLong(run) || longRunning(it) < longSlots(it, now);
     }
 
-    // Brings the moving means and the floors up to now.
+    // Updates the moving means and the minimum share deficits.
     void updateAverages(Admission& it, base::Time now)
     {
         const auto passed = static_cast<double>((now - it.accountedUntil).ms);
@@ -118,13 +118,13 @@
         }
     }
 
-    // Estimates for one walk through the queue, in the order in which the waiting ones start.
+    // Running totals for one walk through the queue, in starting order.
     struct Forecast {
         double slots = 1; // for short requests
         double longSlots = 1;
-        double untilSlotFree = 0; // until the next slot comes free
-        double higherClassSlots = 0; // slots that the classes above hold
-        double workAhead = 0; // slot-milliseconds of all that start earlier
+        double untilSlotFree = 0; // milliseconds until the next slot is free
+        double higherClassSlots = 0; // slots held by higher classes
+        double workAhead = 0; // slot-milliseconds of all requests that start earlier
         double longAhead = 0;
         double aheadInClass = 0;
     };
@@ -143,8 +143,8 @@
         return forecast;
     }
 
-    // Milliseconds until a request of class `n` starts that has the forecast's work ahead of it. It goes by the rate
-    // that the higher classes leave, or by its floor, whichever is sooner.
+    // Milliseconds until a request of class `n` starts after the work in the forecast. It starts at the rate that
+    // higher classes leave or by its minimum share, whichever is sooner.
     double estimatedWait(const Admission& it, const Forecast& forecast, size_t n, base::Duration run)
     {
         const double left = forecast.slots - forecast.higherClassSlots;
@@ -179,21 +179,21 @@
         return { static_cast<int64_t>(std::min(std::ceil(ms), static_cast<double>(std::numeric_limits<int32_t>::max()))) };
     }
 
-    // When a refused one should come back: when there is room, and after those that were told so before it. Without
-    // that second part all that a burst refused would come back together as the next burst.
+    // Retry delay of a refused request: when a slot is expected to be free, and after the retries assigned before it.
+    // Without that second part all requests that a burst refused would return together as the next burst.
     base::Duration scheduleRetry(Admission& it, const Waiting& refused, base::Duration wait, base::Duration allowed, base::Time now)
     {
         const base::Time room = now + std::max(wait - allowed, minRetryAfter);
         const base::Duration each { std::max<int64_t>(1, runsPerRetry * refused.run.ms / it.slots.limit) };
         it.retriesScheduledUntil = std::max(it.retriesScheduledUntil + each, room);
-        if (it.retriesScheduledUntil - now > maxRetryAfter) // start again in the second half: still spread, still bounded
+        if (it.retriesScheduledUntil - now > maxRetryAfter) // continue in the second half: still spread, still bounded
             it.retriesScheduledUntil = std::max(room, now + maxRetryAfter / 2);
         return std::min(it.retriesScheduledUntil - now, maxRetryAfter);
     }
 
-    // Where there will be room only when the caller is gone, it comes back while its answer is still worth most: some slot may
-    // be free, and later its answer is worth little at best. These are spread over the second half of that time, or all that a
-    // burst refused would come back together.
+    // If a slot is expected only after the caller's deadline, the retry comes while the target latency can still be
+    // met: a slot may be free by chance, and a later answer is of little value. Such retries are spread over the second
+    // half of that time, or all requests that a burst refused would return together.
     base::Duration retryAfterFor(const Admission& it, const Waiting& refused, base::Duration scheduled, base::Time now)
     {
         const bool roomInTime = now + scheduled + refused.run <= refused.arrival.deadline;
@@ -217,7 +217,7 @@
         return std::any_of(each.queue.begin(), each.queue.end(), [&](const Waiting& other) { return other.arrival.caller == caller; });
     }
 
-    // Takes one out that will not run.
+    // Removes a request that will not run.
     void removeWaiting(Class& each, size_t place)
     {
         const Waiting gone = each.queue[place];
@@ -227,13 +227,13 @@
             reset(each.order);
     }
 
-    // Whether its answer can come while it is worth most, started now. Where nobody said until when, any answer is.
+    // Whether the request can meet its target if it starts now. A request without a target always can.
     bool isTimely(const Admission& it, const Waiting& waiting, base::Time now)
     {
         return !it.options.prioritizeTimely || !waiting.arrival.targetDeadline || now + waiting.run <= *waiting.arrival.targetDeadline;
     }
 
-    // Places of the queue in the order in which they start.
+    // Queue positions in starting order.
     std::vector<size_t> startOrder(const Admission& it, const Class& each, base::Time now)
     {
         std::vector<size_t> out;
@@ -246,8 +246,8 @@
         return out;
     }
 
-    // Refuses all whose start is forecast too late. They could wait on and hope, but their callers would learn it when
-    // it is too late to do anything else.
+    // Refuses all requests whose forecast start is too late for their deadline. If they waited on, their callers would
+    // learn of the refusal too late to do anything else.
     std::vector<Refusal> refuseInfeasible(Admission& it, base::Time now)
     {
         std::vector<Refusal> refused;
@@ -274,7 +274,8 @@
         return refused;
     }
 
-    // Makes room in a full class for one that goes before its last; none if the newcomer itself would be the last.
+    // Makes room in a full class for a request that goes before its last one; none if the new request itself would be
+    // last.
     std::optional<Refusal> displaceLast(Admission& it, Class& each, double start, base::Time now)
     {
         if (each.queue.back().start <= start)
@@ -297,7 +298,7 @@
         size_t place;
     };
 
-    // The lowest class that is owed a whole run goes first, then the classes in their order.
+    // The lowest class whose deficit covers a whole run goes first, then the classes in order of priority.
     std::optional<Next> nextToStart(const Admission& it, base::Time now)
     {
         for (size_t n = it.classes.size(); n-- > 1;) {
@@ -342,7 +343,7 @@
         return static_cast<size_t>(behind - each.queue.begin());
     }
 
-    // How many of its class start before a newcomer that stands at `place`.
+    // The number of requests of its class that start before a new one inserted at `place`.
     size_t countAheadOf(const Admission& it, const Class& each, const Waiting& fresh, size_t place, base::Time now)
     {
         const bool timely = isTimely(it, fresh, now);
@@ -354,8 +355,9 @@
         return workAhead;
     }
 
-    // What a newcomer with so many of its class ahead would wait. At the end of a queue in which others keep overtaking, as a hot caller
-    // stands, the work that will come in before it counts as well; else it would be let in only to be refused late.
+    // Estimated wait of a new request with this many of its class ahead. At the end of a queue in which others keep
+    // overtaking, where a hot caller's requests are, work that will be queued ahead of it counts as well; otherwise it
+    // would be admitted only to be refused late.
     base::Duration waitFor(const Admission& it, size_t of, size_t workAhead, base::Duration run, base::Time now)
     {
         Forecast forecast = forecastFor(it, now);
@@ -380,8 +382,8 @@
             [&](const auto& entry) { return entry.second.isTrial && entry.second.arrival.route == route; });
     }
 
-    // How long a newcomer may plan to wait. One that can be answered while it is worth most waits no longer than that: in an
-    // overload others stand behind it who can still be answered in time, and a late answer is worth little.
+    // The time that a new request may plan to wait. One that can still meet its target waits no longer than that
+    // allows: under overload others behind it can still be in time, and a late answer is of little value.
     base::Duration allowedWait(const Arrival& arrival, base::Duration run, base::Time now)
     {
         const base::Duration allowed { static_cast<int64_t>(static_cast<double>((arrival.deadline - now - run).ms) * maxWaitShare) };
@@ -391,8 +393,9 @@
         return inTime >= base::Duration {} ? std::min(allowed, inTime) : allowed;
     }
 
-    // If the runs seen lately are too long for this caller, one at a time is let in on the configuration's word all the
-    // same: of a route that is always refused nothing would ever be seen again, and a hang would never end for it.
+    // If recent runs are too long for this caller, one request at a time is admitted on the configured run time all the
+    // same. If a route were always refused, its run time would never be observed again and its estimate would never
+    // recover from a hang.
     bool trialDue(const Admission& it, const Arrival& arrival, base::Duration seen, base::Time now)
     {
         const bool seenTooLong = now + seen > arrival.deadline;
@@ -514,7 +517,7 @@
 base::Time nextTick(const Admission& it, base::Time now)
 {
     base::Time next = now + idleTickInterval;
-    if (it.lastShortArrival + shortRequestMemory > now) // then long jobs may spread out
+    if (it.lastShortArrival + shortRequestMemory > now) // then long jobs may use more slots
         next = std::min(next, it.lastShortArrival + shortRequestMemory);
     for (const Class& each : it.classes)
         for (const Waiting& waiting : each.queue)
--- a/src/appletally/policy/admission.h
+++ b/src/appletally/policy/admission.h
@@ -1,19 +1,20 @@
-// Admission at the owner's node, beside one upstream: who runs, who waits and who is refused.
+// Admission control at the owner, beside one upstream: decides which requests run, wait or are refused.
 //
-// Load pattern: more requests than slots, for a moment (a burst) or for long (overload), among them a few that someone
-// waits for beside a machine. Without it: every request queues at the upstream, each waits for all the others, and at
-// twice the capacity nearly every answer comes after its caller has given up, so that the upstream works for nobody.
+// Load pattern: more requests than slots, for a moment (a burst) or for long (overload), among them a few commands that
+// somebody waits for beside a machine. Without it every request queues at the upstream and waits for all the others; at
+// twice the capacity nearly every answer comes after its caller has given up, so that the upstream does no useful work.
 //
-// The rules, each of which a test switches off (AdmissionParts):
-// - A request waits only if it can still make its deadline, and one that can be answered while that is worth most only as
-//   long; otherwise it is refused at once, with when to come back.
-// - Commands and lookups go before reads, reads before archives; each lower class keeps a small floor.
-// - Within a class callers take turns by run time (fair_order.h).
-// - Who is refused and has time left comes back in time, not only when there is room.
-// - Within a class those who can still be answered while that is worth most go before those who cannot: after an outage
-//   everybody comes back at once, the first have waited longest, and served in that order all are late.
-// - Long jobs hold only a part of the slots, since nothing takes a slot back from a job that runs.
-// - The slots in use follow what the upstream shows (concurrency_limit.h).
+// The rules, each of which a test switches off (AdmissionOptions):
+// - A request waits only if it can still meet its deadline, and one that can still meet its target latency waits no
+//   longer than that allows. Otherwise it is refused at once, with a time to retry after.
+// - Commands and lookups go before reads, reads before archives; each lower class has a small minimum share.
+// - Within a class callers share run time fairly (fair_order.h).
+// - A refused request with a target latency is retried while the target can be met, even if a free slot is not certain
+//   by then.
+// - Within a class requests that can still meet their target go before those that cannot. After an outage all callers
+//   return at once; served first come, first served, the oldest are late already and make all others late.
+// - Long jobs hold only a part of the slots, since a running job is never preempted.
+// - The number of slots in use adapts to the upstream's throughput (concurrency_limit.h).
 #pragma once
 
 #include "appletally/base/result.h"
@@ -35,30 +36,30 @@
     base::CallerId caller;
     base::RouteName route;
     config::Priority priority = config::Priority::Read;
-    base::Duration expected { 20 }; // the route's, from the configuration; observed runs replace it
+    base::Duration expected { 20 }; // configured run time of the route; observed runs replace it
     base::Time deadline; // an answer after this is of no use to the caller
-    bool internal = false; // another service asks, not a person
-    std::optional<base::Time> targetDeadline; // an answer after this is worth less to the caller; empty: not said
+    bool internal = false; // sent by another service, not by a person
+    std::optional<base::Time> targetDeadline; // an answer after this is late and of less value to the caller; empty: no target
 };
 
 enum class AdmissionAction : uint8_t { Run,
     Wait,
     Refuse };
 
-// A final "not run" answer, due at once.
+// A final "not run" answer, to be sent at once.
 struct Refusal {
     RequestId id;
     base::Code code = base::Code::Overloaded; // Overloaded, DeadlineTooNear or Draining
-    base::Duration retryAfter {}; // when there should be room; zero: coming back with the same deadline is of no use
+    base::Duration retryAfter {}; // estimated time until a slot is free; zero: a retry with the same deadline cannot succeed
 };
 
 struct Decision {
     AdmissionAction action = AdmissionAction::Run;
-    Refusal refusal; // of the request itself; only with Verdict::Refuse
-    std::vector<Refusal> displaced; // waiting ones that can no longer make it because this one goes first
+    Refusal refusal; // of the request itself; only with AdmissionAction::Refuse
+    std::vector<Refusal> displaced; // waiting requests that can no longer meet their deadline because this one goes first
 };
 
-// What follows from an event: who starts now and who is refused now.
+// The result of an event: the requests to start and those to refuse.
 struct AdmissionChanges {
     std::vector<RequestId> start;
     std::vector<Refusal> refused;
@@ -67,18 +68,18 @@
 enum class RunEnd : uint8_t {
     Good,
     Failed, // status 5xx, broken connection, timeout
-    Shed, // the upstream itself refused because it is full
-    Cancelled, // by us; says nothing about the upstream
+    Shed, // rejected by the upstream itself because it is full
+    Cancelled, // by this node; says nothing about the upstream
 };
 
-// Switches for tests and measurements; a node leaves them as they are.
+// Switches for tests and measurements; a node keeps the defaults.
 struct AdmissionOptions {
     bool classes = true; // false: all requests in one class
     bool fairness = true; // false: first come, first served within a class
     bool limitLongJobs = true;
-    bool adaptiveLimit = true; // false: the announced slots are always used
-    bool retryWithinTarget = true; // false: refused ones are told only when there should be room
-    bool prioritizeTimely = true; // false: those whose answers would come too late to be worth most keep their place
+    bool adaptiveLimit = true; // false: all announced slots are always used
+    bool retryWithinTarget = true; // false: refused requests are always retried when a slot is expected to be free
+    bool prioritizeTimely = true; // false: requests that can no longer meet their target keep their place
 };
 
 struct Admission {
@@ -86,19 +87,19 @@
         Arrival arrival;
         base::Time since;
         bool isLong = false;
-        bool isTrial = false; // let in although the runs seen lately are too long for its caller
+        bool isTrial = false; // admitted although recent runs are too long for its caller
     };
     struct Waiting {
         Arrival arrival;
-        base::Duration run; // what it takes at the upstream, as far as is known now
-        double start = 0; // place on its class's line; see FairOrder
+        base::Duration run; // current estimate of the run time at the upstream
+        double start = 0; // virtual start time; see FairOrder
     };
     struct Class {
-        std::vector<Waiting> queue; // by start, then as they came
+        std::vector<Waiting> queue; // by start, then by arrival
         FairOrder order;
-        double minShareDeficit = 0; // slot-milliseconds of its floor that this class has not got while it waited
-        double recentSlots = 0; // slots that it held lately, a moving mean
-        double recentOvertaking = 0; // slots' worth of work that lately came in ahead of the queue's end, a moving mean
+        double minShareDeficit = 0; // slot-milliseconds of its minimum share that this class did not get while requests waited
+        double recentSlots = 0; // moving mean of the slots held by this class
+        double recentOvertaking = 0; // moving mean, in slots, of the work that was queued ahead of the end of the queue
     };
 
     AdmissionOptions options;
@@ -109,30 +110,31 @@
     RunEstimates runs;
 
     base::Time readySince { -slowStart.ms }; // of this upstream process
-    base::Time accountedUntil; // `owed` and `used` are counted up to here
-    base::Time lastShortArrival; // when a request that is not long last came
-    base::Time retriesScheduledUntil; // refused ones were told to come back up to here
+    base::Time accountedUntil; // minShareDeficit, recentSlots and recentOvertaking are updated up to here
+    base::Time lastShortArrival; // last arrival of a request that is not long
+    base::Time retriesScheduledUntil; // refused requests have been assigned retry times up to here
 };
 
 Decision offer(Admission&, const Arrival&, base::Time now);
 
-// The upstream is done with a running request. `ran` is the time at the upstream alone.
+// The upstream has finished a running request. `ran` is the time at the upstream alone.
 AdmissionChanges finished(Admission&, RequestId, RunEnd, base::Duration ran, base::Time now);
 
-// The caller gave up or went away, waiting or running; a running one's slot is free only if the upstream has let go of
-// it: call this after the upstream's connection was closed. Unknown ids are passed over.
+// The caller cancelled or disconnected; the request may wait or run. The slot of a running request is free only when
+// the upstream has stopped working on it, so call this after the upstream's connection was closed. Unknown ids are
+// ignored.
 AdmissionChanges cancel(Admission&, RequestId, base::Time now);
 
-// Call at nextTick() at the latest: refuses the waiting ones that can no longer make their deadline.
+// Call at nextTick() at the latest. Refuses waiting requests that can no longer meet their deadline.
 AdmissionChanges tick(Admission&, base::Time now);
 base::Time nextTick(const Admission&, base::Time now);
 
-// Another upstream process has begun to take work: what was learned of the one before (how long routes run, how many at
-// once it does well) says nothing about it, and it is cold. Only with nothing running; call setSlots() next.
+// A new upstream process takes work. The run times and the concurrency limit learned from the previous process don't
+// apply to it, and it is in slow start. Call only with nothing running; call setSlots() next.
 void upstreamStarted(Admission&, base::Time now);
 
-AdmissionChanges setSlots(Admission&, int announced, base::Time now); // the upstream's announced ceiling
-AdmissionChanges drain(Admission&, base::Time now); // no new work from now on; those that wait still run
+AdmissionChanges setSlots(Admission&, int announced, base::Time now); // upper limit announced by the upstream
+AdmissionChanges drain(Admission&, base::Time now); // refuses new requests from now on; waiting ones still run
 Load load(const Admission&, base::Time now);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/collapse.cpp
+++ b/src/appletally/policy/collapse.cpp
@@ -1,4 +1,4 @@
-// Who shares which run; see collapse.h.
+// Bookkeeping of shared runs; see collapse.h.
 #include "appletally/policy/collapse.h"
 
 namespace appletally::policy {
--- a/src/appletally/policy/collapse.h
+++ b/src/appletally/policy/collapse.h
@@ -1,7 +1,8 @@
-// Identical idempotent reads of one caller in flight share one run, and each gets its whole answer.
+// Request collapsing: identical idempotent reads of one caller that are in flight share one run, and each gets the
+// whole answer.
 //
-// Load pattern: somebody refreshes a page while its last load is still under way. Without it each refresh runs again
-// and the upstream answers the same question ten times to one person. Never across callers: their answers may differ.
+// Load pattern: somebody refreshes a page while its last load is still running. Without it each refresh runs again and
+// the upstream answers the same request ten times for one person. Never across callers: their answers may differ.
 #pragma once
 
 #include "appletally/base/clock.h"
@@ -24,20 +25,21 @@
 
 struct Collapse {
     struct SharedRun {
-        RequestId run; // the request whose run it is; it may have left, the run goes on for the others
-        std::vector<RequestId> waiters; // who gets the answer; never empty
+        RequestId run; // the request that runs; its caller may have left, the run continues for the others
+        std::vector<RequestId> waiters; // requests that get the answer; never empty
     };
     std::map<ReadKey, SharedRun> sharedRuns;
-    std::map<RequestId, ReadKey> keyByRequest; // of all that are wanting, and of each run
+    std::map<RequestId, ReadKey> keyByRequest; // of all waiters, and of each run
 };
 
-// True: this request runs. False: it waits for the answer of the one that runs.
+// True: this request runs. False: it waits for the answer of the request that runs.
 bool join(Collapse&, const ReadKey&, RequestId);
 
-// The run ended, well or not, or was refused: these get its answer. Empty for a run that is not shared or not known.
+// The run has ended, successfully or not, or was refused: returns the requests that get its answer. Empty for a run
+// that is not shared or not known.
 std::vector<RequestId> ended(Collapse&, RequestId run);
 
-// A caller went away. The run to cancel, if nobody wants its answer any more.
+// A caller has left. Returns the run to cancel if it has no waiters left.
 std::optional<RequestId> leave(Collapse&, RequestId);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/concurrency_limit.cpp
+++ b/src/appletally/policy/concurrency_limit.cpp
@@ -1,4 +1,4 @@
-// Trials of a lower or higher limit, judged by throughput; see concurrency_limit.h.
+// Trials of a lower or higher limit, evaluated by throughput; see concurrency_limit.h.
 #include "appletally/policy/concurrency_limit.h"
 
 #include <algorithm>
@@ -6,13 +6,13 @@
 namespace appletally::policy {
 namespace {
 
-    // Answers in a window. The mean of 80 runs that vary by their own mean is within 11%, a trial changes the limit by two
-    // fifths; at 10 slots of 20 ms a window is a sixth of a second.
+    // The mean of 80 runs that vary by their own mean is within 11%, and a trial changes the limit by two fifths; at 10
+    // slots of 20 ms a window is a sixth of a second.
     constexpr int answersPerWindow = 80;
-    constexpr double minSlowdownForTrial = 1.5; // below this a slowdown is not worth a trial
-    constexpr double maxNormalSlowdown = 1.2; // at this or below there is room for one more
+    constexpr double minSlowdownForTrial = 1.5; // a smaller slowdown is not worth a trial
+    constexpr double maxNormalSlowdown = 1.2; // at or below this the limit may rise by one
     constexpr double trialLimitRatio = 0.6;
-    constexpr double minThroughputRatio = 0.95; // of before: less counts as a loss
+    constexpr double minThroughputRatio = 0.95; // of the throughput before the trial: less counts as a loss
     constexpr int maxHoldWindows = 64;
 
     void beginWindow(ConcurrencyLimit& it)
@@ -47,7 +47,7 @@
             startTrial(it, it.limit + 1, slowdownNow);
     }
 
-    // Requests done in a given time go as slots over run time.
+    // Throughput is proportional to slots over run time.
     void evaluateTrial(ConcurrencyLimit& it, double slowdownNow)
     {
         it.inTrial = false;
@@ -56,7 +56,7 @@
         const bool wasLowered = it.limit < it.limitBeforeTrial;
         if (wasLowered ? after >= before * minThroughputRatio : after > before) {
             it.nextHoldWindows = 4;
-            return adjustLimit(it, slowdownNow); // what the trial measured is what the next one is compared with
+            return adjustLimit(it, slowdownNow); // the trial's measurement is the baseline of the next one
         }
         it.limit = it.limitBeforeTrial;
         holdAfterFailure(it);
--- a/src/appletally/policy/fair_order.cpp
+++ b/src/appletally/policy/fair_order.cpp
@@ -6,8 +6,8 @@
 namespace appletally::policy {
 namespace {
 
-    // Callers remembered at once. At 500 requests a second from as many callers that is two seconds of overload, longer
-    // than anyone waits; a caller forgotten here merely starts at the front once more.
+    // Limit of remembered callers. At 500 requests a second from as many callers that is two seconds of overload,
+    // longer than any request waits; an evicted caller merely starts at the current virtual time again.
     constexpr size_t maxCallers = 1024;
 
     void evictFinished(FairOrder& it)
--- a/src/appletally/policy/hedge.cpp
+++ b/src/appletally/policy/hedge.cpp
@@ -1,4 +1,4 @@
-// The quantile, the budget and the moment of a hedge; see hedge.h.
+// Latency quantile, budget and delay of hedged requests; see hedge.h.
 #include "appletally/policy/hedge.h"
 
 #include <algorithm>
@@ -7,19 +7,19 @@
 namespace appletally::policy {
 namespace {
 
-    // 3 in 100 reads are candidates, clearly fewer than the budget of 5% allows: at 5 in 100 it ran dry, and a fifth of
-    // the slow reads went without a copy.
+    // 3 in 100 reads are candidates, clearly fewer than the budget of 5% allows: at 5 in 100 the budget ran out, and a
+    // fifth of the slow reads got no copy.
     constexpr double quantile = 0.97;
     constexpr double step = 0.1; // of the estimate; it follows a doubled latency within about ten late answers
-    constexpr int minAnswers = 30; // before that, 97 of 100 means nothing
+    constexpr int minAnswers = 30; // with fewer, 97 of 100 means nothing
     constexpr double minMs = 1;
 
     constexpr int64_t tokensPerHedge = 1000;
-    constexpr int64_t maxTokens = 5 * tokensPerHedge; // a quiet hour doesn't save up for a hundred copies at once
+    constexpr int64_t maxTokens = 5 * tokensPerHedge; // idle time must not save up for a hundred copies at once
 
 } // namespace
 
-// Moves up by much at each answer that is later, down by little at each that is not: in balance where 3% are later.
+// Rises by much at each later answer, falls by little at each other one: in balance where 3% are later.
 void observe(LatencyEstimate& it, base::Duration took)
 {
     const auto ms = std::max(static_cast<double>(took.ms), minMs);
@@ -37,7 +37,7 @@
     if (!idempotent || estimate.answers < minAnswers)
         return std::nullopt;
     const base::Duration after { static_cast<int64_t>(std::ceil(estimate.ms)) };
-    if (now + after * 2 > deadline) // the copy could hardly make it either
+    if (now + after * 2 > deadline) // the copy could hardly answer in time either
         return std::nullopt;
     return after;
 }
--- a/src/appletally/policy/latency_bins.cpp
+++ b/src/appletally/policy/latency_bins.cpp
@@ -1,4 +1,5 @@
-// Bin n holds latencies up to sqrt(2)^n milliseconds, above those of bin n - 1; the last bin is open.
+// Latency histogram. Bin n holds latencies up to sqrt(2)^n milliseconds, above those of bin n - 1; the last bin is
+// open.
 #include "appletally/policy/latency_bins.h"
 
 #include <algorithm>
--- a/src/appletally/policy/load.h
+++ b/src/appletally/policy/load.h
@@ -1,7 +1,7 @@
-// What an owner's node says about its upstream in every answer, and the id of a request inside one node.
+// The load that an owner reports with every answer, and the id of a request inside one node.
 //
-// Callers' nodes route by this and by their own counts. It is as old as the last answer, which under load is
-// milliseconds; health and load endpoints of the platform lag or mislead by seconds.
+// Ingress nodes route by this and by their own counts. It is as old as the last answer, which under load is
+// milliseconds; health and load endpoints of the platform lag by seconds or mislead.
 #pragma once
 
 #include "appletally/base/clock.h"
@@ -11,17 +11,17 @@
 
 using RequestId = base::Number<struct RequestTag>; // counted by one node, never sent to another
 
-// A cold upstream fills its caches over some seconds; it gets its full share after this time. The owner knows best when
-// it began; a caller's node that has no answer yet goes by when it saw the upstream first.
+// Duration of slow start. A cold upstream fills its caches over some seconds; it gets its full share after this time.
+// The owner knows best when it started; an ingress without an answer yet counts from when it first saw the upstream.
 constexpr base::Duration slowStart { 10'000 };
 
 struct Load {
     int running = 0; // requests at the upstream
     int waiting = 0; // requests in the owner's queue
-    int slots = 0; // requests that the upstream is given at once now; may be lower than announced
-    bool draining = false; // no new work
-    base::Duration wait {}; // what a new read would wait before it runs
-    base::PerMille slowStartProgress { 1000 }; // how far its warm-up has come
+    int slots = 0; // current concurrency limit of the upstream; may be lower than announced
+    bool draining = false; // accepts no new work
+    base::Duration wait {}; // estimated wait of a new read before it runs
+    base::PerMille slowStartProgress { 1000 }; // progress of slow start
 };
 
 } // namespace appletally::policy
--- a/src/appletally/policy/outlier.cpp
+++ b/src/appletally/policy/outlier.cpp
@@ -1,4 +1,4 @@
-// Ejection and the way back; see outlier.h.
+// Ejection and recovery; see outlier.h.
 #include "appletally/policy/outlier.h"
 
 #include <algorithm>
@@ -7,14 +7,14 @@
 namespace {
 
     // Half of the answers failed, over about the last ten. A good upstream that fails 1 in 50 gets there once in
-    // millions of answers; one that fails always is out after five.
+    // millions of answers; one that always fails is ejected after five.
     constexpr double maxFailureRate = 0.5;
-    constexpr double answerWeight = 0.15; // weight of one answer
+    constexpr double answerWeight = 0.15; // weight of one answer in the moving mean
     constexpr int minAnswers = 5;
 
-    constexpr base::Duration firstEjection { 1000 }; // a restart takes about so long
-    constexpr base::Duration maxEjection { 10'000 }; // one failed call in 10 s is less than a third of a service idle for longer
-    constexpr int hostsPerEjection = 3; // at most one in three is out, so that the others can carry its load
+    constexpr base::Duration firstEjection { 1000 }; // a restart takes about this long
+    constexpr base::Duration maxEjection { 10'000 }; // one failed call in 10 s is less than leaving a third of a service idle for longer
+    constexpr int hostsPerEjection = 3; // at most one in three is ejected, so that the others can carry its load
 
     bool isEjected(const Health& it, base::Time now) { return it.ejected && (now < it.probeAt || it.probing); }
     bool probeDue(const Health& it, base::Time now) { return it.ejected && now >= it.probeAt && !it.probing; }
@@ -34,7 +34,7 @@
         it = { maxFailureRate, 0, true, now + out, false, it.ejections + 1 };
     }
 
-    // The one probe decides: back with a memory of half the way, or out for twice as long.
+    // The probe decides: either back with half the failure rate limit, or ejected for twice as long.
     void finishProbe(Health& it, bool failed, base::Time now)
     {
         if (failed)
@@ -43,25 +43,25 @@
             it = { maxFailureRate / 2, 0, false, {}, false, it.ejections };
     }
 
-    // True: it was ejected now.
+    // Returns true if it was ejected now.
     bool recordAnswer(Health& it, bool failed, bool mayEject, base::Time now)
     {
         if (it.ejected) {
             if (it.probing)
                 finishProbe(it, failed, now);
-            return false; // else an answer to a request sent before the ejection
+            return false; // otherwise an answer to a request sent before the ejection
         }
         it.failureRate += ((failed ? 1 : 0) - it.failureRate) * answerWeight;
         it.answers = std::min(it.answers + 1, minAnswers * 20);
         if (it.answers == minAnswers * 20 && it.failureRate < maxFailureRate / 5)
-            it.ejections = 0; // well for a hundred answers
+            it.ejections = 0; // healthy for a hundred answers
         if (!mayEject || it.answers < minAnswers || it.failureRate < maxFailureRate)
             return false;
         eject(it, now);
         return true;
     }
 
-    // A version is only out on a route where another version does well; if all fail, the fault is elsewhere.
+    // A version is ejected on a route only if another version is healthy there; if all fail, the fault is elsewhere.
     bool otherVersionHealthy(const Outliers& it, const Subject& subject, base::Time now)
     {
         return std::any_of(it.versionRoutes.begin(), it.versionRoutes.end(), [&](const auto& entry) {
--- a/src/appletally/policy/outlier.h
+++ b/src/appletally/policy/outlier.h
@@ -1,9 +1,9 @@
-// Which upstreams a caller's node leaves out for a while because they fail: as a whole, on one route, or a whole
-// version on one route.
+// Outlier detection: an ingress ejects failing upstreams for a while, as a whole or on one route, or a whole version on
+// one route.
 //
-// Load pattern: one upstream whose store is gone answers every request at once with an error, and looks idle for it. A
-// new version fails on one route only. Without this the failing one draws more traffic than the good ones, and a
-// failure on one route is either suffered or costs the upstream all its other routes.
+// Load pattern: one upstream whose store is gone answers every request at once with an error, and so looks idle. Or a
+// new version fails on one route only. Without this the failing upstream attracts more traffic than the good ones, and
+// a failure on one route either persists or costs the upstream all its other routes.
 #pragma once
 
 #include "appletally/base/clock.h"
@@ -14,14 +14,14 @@
 
 namespace appletally::policy {
 
-// How one subject has answered lately.
+// Recent results of one host, host and route, or version and route.
 struct Health {
     double failureRate = 0; // moving share of failed answers, 0 to 1
-    int answers = 0; // counted up to what an ejection needs
+    int answers = 0; // counted up to what an ejection and its reset need
     bool ejected = false;
-    base::Time probeAt; // while ejected: one request may go there from then on
-    bool probing = false; // that request is under way
-    int ejections = 0; // in a row; each doubles the time out
+    base::Time probeAt; // while ejected: one request may probe from then on
+    bool probing = false; // the probe is in flight
+    int ejections = 0; // in a row; each doubles the ejection time
 };
 
 struct Subject {
@@ -38,7 +38,7 @@
 
 enum class HostStatus : uint8_t {
     Active,
-    ProbeDue, // out, but one request may try; take it with beginProbe()
+    ProbeDue, // ejected, but one request may probe; claim it with beginProbe()
     Ejected,
 };
 
@@ -46,7 +46,7 @@
 bool isVersionEjected(const Outliers&, const base::UpstreamVersion&, const base::RouteName&, base::Time now);
 void beginProbe(Outliers&, const Subject&, base::Time now);
 
-// How the other upstreams that could take this route do.
+// Results of the other upstreams that could take this route.
 struct PeerHealth {
     int hosts = 0;
     int ejected = 0; // of them, ejected already
@@ -54,10 +54,10 @@
 };
 double failureRateOf(const Outliers&, const Subject&); // of this host on this route
 
-// A host is ejected only where the others do well: if all fail, what they depend on is down, and each one less makes
-// it worse for the rest. Never more than a third is out. Returns true where something was ejected.
+// A host is ejected only if the others are healthy: if all fail, a shared dependency is down, and each ejection adds to
+// the load of the rest. Never more than a third is ejected. Returns true if something was ejected.
 bool observe(Outliers&, const Subject&, bool failed, const PeerHealth&, base::Time now);
-void cancelProbe(Outliers&, const Subject&); // a probe ended without telling anything
+void cancelProbe(Outliers&, const Subject&); // a probe ended without a result
 void removeHost(Outliers&, const base::HostId&);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/retry.cpp
+++ b/src/appletally/policy/retry.cpp
@@ -1,4 +1,4 @@
-// Which tries may be repeated, and at what cost; see retry.h.
+// Retry decisions and their cost; see retry.h.
 #include "appletally/policy/retry.h"
 
 #include <algorithm>
@@ -8,22 +8,22 @@
 
     constexpr int64_t tokensPerRetry = 1000;
     constexpr int64_t maxTokens = 10 * tokensPerRetry; // a burst of ten failures may be retried, not a whole outage
-    // A second upstream chosen with care that is full as well says that the service is full.
+    // If a second upstream, picked by load, is full as well, the service is full.
     constexpr int maxAttemptsWhenFull = 2;
 
-    // Nodes refuse for want of room before their upstream hears of it, so asking another one costs a round trip and nothing
-    // that a budget has to protect.
+    // Nodes reject a request for lack of room before it reaches their upstream, so an attempt elsewhere costs a round
+    // trip and no load that a budget has to limit.
     constexpr int maxAttemptsForRoom = 3;
 
-    constexpr int64_t minPauseMs = 5; // milliseconds; what broke a moment ago is given time to be noticed
+    constexpr int64_t minPauseMs = 5; // time for a fresh fault to be detected
     constexpr int64_t maxPauseMs = 50;
 
     enum class Kind : uint8_t {
-        Moved, // that upstream takes no work; another does, and the try cost nothing
+        Moved, // that upstream takes no work, another does, and the attempt cost nothing
         Full,
-        NoRoom, // there, and the upstream was not asked
-        Broken, // idempotent ones only, unless "not run" is proven
-        Final, // trying again can't help
+        NoRoom, // rejected by the owner's node before the upstream received it
+        Broken, // retried only if idempotent, unless "not run" is proven
+        Final, // a retry cannot help
     };
 
     Kind kindOf(base::Code code)
@@ -32,7 +32,7 @@
         case base::Code::Draining:
         case base::Code::NotReady:
         case base::Code::VersionTakenBack:
-        case base::Code::NoUpstream: // there, or the link there was never up
+        case base::Code::NoUpstream: // at that node, or the link there was never up
             return Kind::Moved;
         case base::Code::Overloaded:
             return Kind::Full;
@@ -49,7 +49,7 @@
         }
     }
 
-    // Exponential, with full jitter above the least pause.
+    // Exponential backoff, with full jitter above the minimum pause.
     base::Duration backoffAfter(int attempts, uint64_t random)
     {
         const int64_t longest = std::min(maxPauseMs, minPauseMs << std::min(attempts, 4));
@@ -59,7 +59,7 @@
     int maxAttemptsFor(Kind kind, const FailedAttempt& failed)
     {
         if (kind == Kind::NoRoom || kind == Kind::Moved)
-            return maxAttemptsForRoom; // no upstream has heard of it, so none of the route's attempts is spent
+            return maxAttemptsForRoom; // no upstream has received it, so none of the route's attempts is spent
         return kind == Kind::Full ? std::min(maxAttemptsWhenFull, failed.maxAttempts) : failed.maxAttempts;
     }
 
--- a/src/appletally/policy/routing.cpp
+++ b/src/appletally/policy/routing.cpp
@@ -1,4 +1,4 @@
-// Versions by turn, two choices by expected answer; see routing.h.
+// Version choice by exact shares, upstream choice by expected answer; see routing.h.
 #include "appletally/policy/routing.h"
 
 #include <algorithm>
@@ -9,64 +9,69 @@
 namespace appletally::policy {
 namespace {
 
-    constexpr double minSlowStartShare = 0.1; // a cold upstream begins with a tenth of its slots: at 10 slots, one
+    constexpr double minSlowStartShare = 0.1; // a cold upstream starts with a tenth of its slots: at 10 slots, one
 
-    // Both deployments lie between: a round trip between two zones takes 1 ms or 3 ms.
-    constexpr double crossZoneMs = 2; // milliseconds
+    // A round trip between two zones takes 1 ms or 3 ms, depending on the deployment.
+    constexpr double crossZoneMs = 2;
 
-    // Bytes between zones are paid for. A kilobyte is worth this much waiting in the own zone: an archive of 90 KB stays
-    // there unless its caller would wait a quarter of a second longer, a status of 1 KB goes wherever it is answered first.
+    // Traffic between zones costs money. A kilobyte is worth this much waiting in the own zone: an archive of 90 KB
+    // stays there unless its caller would wait a quarter of a second longer, a status of 1 KB goes wherever it is
+    // answered first.
     constexpr double crossZoneMsPerKilobyte = 3;
 
-    // Weight of one answer in an upstream's pace. Runs vary by about their own mean, which makes this pace vary by a
-    // quarter, so up to twice as slow is taken for usual; a bound of 1.5 turned one good answer in thirty into an
-    // avoided upstream. Three times as slow shows after seven answers, ten times as slow after two.
+    // Weight of one answer in an upstream's latency ratio. Runs vary by about their own mean, so this ratio varies by a
+    // quarter, and up to twice as slow counts as usual; a bound of 1.5 made one good answer in thirty mark its upstream
+    // as slow. Three times as slow shows after seven answers, ten times as slow after two.
     constexpr double latencyRatioWeight = 0.1;
     constexpr double maxUsualLatencyRatio = 2;
     constexpr double maxLatencyRatio = 100;
-    constexpr double sizeWeight = 0.05; // sizes of one route vary by about their own mean
-    constexpr double routeWeight = 0.02; // the usual time of a route moves fifty times slower than answers come
+    constexpr double sizeWeight = 0.05; // answer sizes of one route vary by about their own mean
+    constexpr double routeWeight = 0.02; // the usual time of a route follows its answers over about fifty of them
 
-    // Without answers from it a slow upstream is tried again after a while: one that was five times as slow after 4 s.
-    // Each try that is slow again costs one caller and sets the pace up again.
-    constexpr double latencyRatioHalfLifeMs = 2000; // milliseconds
-    constexpr double loadHalfLifeMs = 500; // how fast others' load at an upstream becomes old news
+    // Without answers a slow upstream gets requests again after a while: one that was five times as slow after 4 s.
+    // Each attempt that is slow again delays one caller and raises the ratio again.
+    constexpr double latencyRatioHalfLifeMs = 2000;
+    constexpr double loadHalfLifeMs = 500; // decay of the load that other nodes put on an upstream
 
-    // A zone's own upstreams are used up to this part of their slots before its calls go elsewhere; the last slots are
-    // for what other nodes have sent there since the last news.
+    // A zone's own upstreams are used up to this part of their slots before its calls go to other zones; the last slots
+    // are for requests that other nodes have sent there since the last load report.
     constexpr double fullSlotShare = 0.8;
-    constexpr double loadTieBreak = 0.05; // of a run, for full slots: decides only between equals
+    constexpr double loadTieBreak = 0.05; // of a run, for full slots: decides only between equal candidates
 
-    // How much an upstream may differ from the others, for all that a few runs can say.
+    // Bounds of an upstream's run time over the usual one, since a few runs can be misleading.
     constexpr double minRunRatio = 0.2;
     constexpr double maxRunRatio = 5;
 
-    // Between these an upstream is as quick as the others, for all that is known. Without it chance alone sends a part of a
-    // calm zone's calls elsewhere, where nothing says what that is worth.
+    // Between these ratios an upstream counts as equally fast. Without them chance alone sends a part of a lightly
+    // loaded zone's calls to other zones, although a request without a target latency gains nothing known from that.
     constexpr double minSimilarRatio = 0.65;
     constexpr double maxSimilarRatio = 1.5;
 
     constexpr double spreadWeight = 0.05;
     constexpr double minSpread = 0.1;
 
-    // Unseen for this long, an upstream's speed counts half as much: a cold one is slow for seconds and then like the others.
-    constexpr double runRatioHalfLifeMs = 2000; // milliseconds
+    // Without new answers the deviation of an upstream's run time ratio halves in this time: a cold upstream is slow
+    // for seconds and then like the others.
+    constexpr double runRatioHalfLifeMs = 2000;
 
-    // A queue counts this much more than its own wait. By the wait alone a quick upstream's full queue is still sooner than a
-    // slow one's free slot; everybody takes it, the slow slots idle, and owners turn away who would have been in time there.
+    // Weight of a queue over its own wait. By the wait alone a fast upstream's full queue is still sooner than a slow
+    // one's free slot: all nodes pick it, the slow slots idle, and owners reject requests that would have been in time
+    // there.
     constexpr double queueWeight = 5;
 
-    // Between upstreams that will all answer in time the quicker one goes first: this much for the whole of that time.
+    // Weight of the expected answer time, as a part of the target latency, so that of several upstreams that will all
+    // answer in time the fastest is picked.
     constexpr double promptnessWeight = 0.4;
 
-    // One pick in so many takes any upstream: one that was slow and is well again, or has just joined, is seen by its answers.
+    // One pick in this many takes any upstream, so that one that has recovered or has just joined is measured by its
+    // answers.
     constexpr uint64_t picksPerTrial = 64;
 
-    // An upstream that was not there gets nothing for this long. Its record runs out after seconds only, and each call sent there
-    // meanwhile costs a round trip; a node that restarts is back within about as long.
+    // An absent upstream gets no requests for this long. Its record expires only after seconds, and each call sent
+    // there meanwhile costs a round trip; a node that restarts is back within about this time.
     constexpr base::Duration absentFor { 500 };
 
-    constexpr double minTimeMs = 1; // milliseconds to an answer that count at least; a clock in milliseconds sees no less
+    constexpr double minTimeMs = 1; // shortest time to an answer; the clock has millisecond resolution
 
     bool newer(const config::Endpoint& a, const config::Endpoint& b)
     {
@@ -96,7 +101,7 @@
         return stands == HostStatus::Active || (stands == HostStatus::ProbeDue && request.mayProbe);
     }
 
-    // Of any version where `version` is null.
+    // Of any version if `version` is null.
     std::vector<Target*> usableTargets(Router& it, const PickRequest& request, const base::UpstreamVersion* version, base::Time now)
     {
         std::vector<Target*> found;
@@ -106,7 +111,7 @@
         return found;
     }
 
-    // The one with the highest credit after each version got its share.
+    // Adds each version's share to its credit, then returns the version with the highest credit, which pays the total.
     const base::UpstreamVersion* nextByCredit(const Router& it, VersionCredits& versionCredits)
     {
         const base::UpstreamVersion* next = nullptr;
@@ -133,7 +138,7 @@
         return nextByCredit(it, at->second);
     }
 
-    // The targets of the version whose turn it is, or of the next one that may stand in for it.
+    // The targets of the next version by credit, or of the version that takes its requests.
     std::vector<Target*> targetsByShare(Router& it, const PickRequest& request, base::Time now)
     {
         const base::UpstreamVersion* turn = nextVersion(it, request.route);
@@ -158,8 +163,8 @@
         return std::exp2(-static_cast<double>((now - since).ms) / halfLife);
     }
 
-    // The owner knows when its upstream began and how long it says that it is cold; who has heard nothing of the owner yet
-    // goes by when it saw the upstream first.
+    // The owner knows when its upstream started and reports its slow start; without a report the time since this node
+    // first saw the upstream counts.
     double slowStartShare(const Target& target, base::Time now)
     {
         const bool hasReport = target.load.slots > 0;
@@ -168,7 +173,7 @@
         return std::clamp(hasReport ? reported : seen, minSlowStartShare, 1.0);
     }
 
-    // What is known of its pace fades towards the usual one.
+    // The latency ratio decays towards the usual one.
     double currentLatencyRatio(const Target& target, base::Time now)
     {
         return 1 + (target.latencyRatio - 1) * decay(target.latencyRatioAt, latencyRatioHalfLifeMs, now);
@@ -176,8 +181,8 @@
 
     double usualRunOf(const RouteLatency& route) { return std::max(route.run > 0 ? route.run : route.mean, minTimeMs); }
 
-    // Milliseconds that a request of the route runs there. The upstream's own node has seen the runs of all callers, so its
-    // word counts after one answer; what it said a while ago fades towards the usual.
+    // Expected run time of the route at this upstream, in milliseconds. The owner has observed the runs of all callers,
+    // so its report counts after one answer; an old report decays towards the usual run.
     double expectedRun(const Target& target, const base::RouteName& route, double usual, bool useRunTimes, base::Time now)
     {
         const auto reported = target.runs.find(route);
@@ -189,14 +194,14 @@
         return usual * (latencyRatio > maxUsualLatencyRatio ? latencyRatio : 1);
     }
 
-    // What a request would meet at one upstream.
+    // Expected conditions of a request at one upstream.
     struct Estimate {
         double run = 0; // milliseconds
-        double usual = 0; // the same, over all upstreams
+        double usual = 0; // milliseconds, over all upstreams
         double slots = 1;
         double active = 0; // requests there now
         double networkMs = 0; // milliseconds there and back
-        double kilobytes = 0; // of an answer, where it has to cross zones
+        double kilobytes = 0; // of an answer, if it has to cross zones
         double spread = 0;
     };
 
@@ -217,14 +222,14 @@
         return out;
     }
 
-    // Milliseconds that the queue there counts for: more than its own wait, see `crowding`.
+    // Weighted queueing delay in milliseconds: more than the actual wait, see `queueWeight`.
     double queueAt(const Router& it, const Estimate& at, double run)
     {
         const double queue = std::max(0.0, at.active + 1 - fullSlotShare * at.slots) / at.slots + loadTieBreak * std::min(at.active, at.slots) / at.slots;
         return run * queue * (it.options.useRunTimes ? queueWeight : 1);
     }
 
-    // Milliseconds until an answer is expected, for requests that do not say within what time they need it.
+    // Milliseconds until an answer is expected, for requests without a target latency.
     double expectedAnswer(const Router& it, const Estimate& at)
     {
         const bool alike = at.run > at.usual * minSimilarRatio && at.run < at.usual * maxSimilarRatio;
@@ -232,7 +237,7 @@
         return run + queueAt(it, at, run) + at.networkMs + at.kilobytes * crossZoneMsPerKilobyte;
     }
 
-    // The chance that a run ends within `left` milliseconds, with runs' logarithms normally distributed around the usual one.
+    // Probability that a run ends within `left` milliseconds, with a log-normal distribution around the usual run.
     double chanceWithin(double left, double run, double spread)
     {
         if (left <= 0)
@@ -241,7 +246,7 @@
         return std::erfc(-(std::log(left / run) / deviation + deviation / 2) / std::sqrt(2.0)) / 2;
     }
 
-    // What sending a request there is worth, as a part of what an answer in time is worth to its caller.
+    // Expected value of sending a request there, as a part of the value of an answer in time.
     double expectedValue(const Router& it, const Estimate& at, base::Duration targetLatency)
     {
         const double left = std::max(static_cast<double>(targetLatency.ms), minTimeMs);
@@ -249,14 +254,14 @@
         return chanceWithin(left - wait, at.run, at.spread) - at.kilobytes * it.costs.kilobyteAcrossZones - promptnessWeight * (at.run + wait) / left;
     }
 
-    // The least is taken. By worth where the request says what that depends on, else by time.
+    // The lowest cost is picked: by expected value if the request has a target latency, else by time.
     double costOf(const Router& it, const Target& target, const PickRequest& request, base::Time now)
     {
         const Estimate at = estimateAt(it, target, request.route, now);
         return it.options.useTargetLatency && request.targetLatency ? -expectedValue(it, at, *request.targetLatency) : expectedAnswer(it, at);
     }
 
-    // Two different ones at random, or the only one.
+    // Two different targets at random, or all if there are no more than two.
     std::vector<Target*> sampleTwo(const std::vector<Target*>& from, uint64_t random)
     {
         if (from.size() <= 2)
@@ -302,8 +307,8 @@
         route.spread = std::sqrt(route.spread * route.spread * (1 - spreadWeight) + off * off * spreadWeight);
     }
 
-    // Of a cancelled one only the least is known that it would have taken; a hedge that wins cancels the slow one, and
-    // without this the slow one would never be seen as slow.
+    // The elapsed time of a cancelled attempt is only a lower bound of its latency. It still counts: a hedge that wins
+    // cancels the slow attempt, and without this the slow upstream would never be seen as slow.
     void observeLatency(Router& it, Target& target, const AnswerReport& answer, base::Time now)
     {
         const double elapsed = std::max(static_cast<double>(answer.elapsed.ms), minTimeMs);
@@ -351,7 +356,7 @@
 
 void setEndpoints(Router& it, std::span<const config::Endpoint> endpoints, base::Time now)
 {
-    const bool boot = it.targets.empty(); // what is there before this node is no news, and as warm as can be known
+    const bool boot = it.targets.empty(); // upstreams that are there before this node count as warm
     for (const config::Endpoint& endpoint : endpoints) {
         const auto known = it.targets.find(endpoint.host);
         if (known != it.targets.end() && !newer(endpoint, known->second.endpoint))
@@ -389,8 +394,8 @@
         = request.onlyVersion ? usableTargets(it, request, &*request.onlyVersion, now) : targetsByShare(it, request, now);
     if (found.empty())
         return std::nullopt;
-    // An ejected one whose time is over gets the next request that may try it: left to the choice by expected answer,
-    // a slow one would never be seen again.
+    // An ejected target whose probe is due gets the next request that may probe it: left to the choice by expected
+    // answer, a slow one would never be measured again.
     const auto probe = std::find_if(found.begin(), found.end(), [&](const Target* target) {
         return statusOf(it.outliers, subjectOf(*target, request.route), now) == HostStatus::ProbeDue;
     });
@@ -408,14 +413,14 @@
     Target& target = at->second;
     target.inFlight = std::max(0, target.inFlight - 1);
     if (answer.kind == AnswerKind::Absent) {
-        // Without the load that came back: it is of whatever is there now.
+        // Ignore the load that came back: it belongs to whatever is there now.
         target.absentUntil = now + absentFor;
         cancelProbe(it.outliers, subjectOf(target, answer.route));
         return;
     }
     if (answer.load)
         recordLoad(target, *answer.load, now);
-    // A fast failure is no sign of speed, and a refusal is told by the load that comes with it.
+    // A fast failure is no sign of speed, and a refusal is described by the load that comes with it.
     if (answer.kind != AnswerKind::Failed && answer.kind != AnswerKind::Refused)
         observeLatency(it, target, answer, now);
     if (answer.kind == AnswerKind::Cancelled || answer.kind == AnswerKind::Refused)
--- a/src/appletally/policy/routing.h
+++ b/src/appletally/policy/routing.h
@@ -1,18 +1,18 @@
-// Routing at the caller's node: which upstream of a service gets the next request.
+// Routing at the ingress: which upstream of a service gets the next request.
 //
 // Load pattern: a few upstreams in three availability zones of which one is slow, cold or full, called from many nodes
-// that don't know of each other. Without it (round robin): every upstream gets the same number of requests however
-// long it takes, so one slow upstream holds a growing part of all calls, and a cold one is buried as it comes up.
+// that don't coordinate. Without it (round robin) every upstream gets the same number of requests however long it
+// takes, so one slow upstream holds a growing part of all calls, and a cold one is overloaded as it starts.
 //
-// The choice: whose turn it is among the versions, by exact shares; then two upstreams of that version at random in the
-// node's own zone and two anywhere, and of these the one that is worth most: the chance that the answer comes while it is
-// worth most to the caller, less what it costs to carry it from another zone. A request that does not say until when an
-// answer is worth most goes where it is expected first. Two at random instead of
-// the best of all, because many nodes with the same old news would all run to the same best one.
+// The choice: first the version, by exact shares; then the best of two upstreams of that version at random in the
+// node's own zone and two anywhere. Best is the highest expected value: the probability of an answer within the target
+// latency, less the cost of carrying it from another zone. A request without a target latency goes where its answer is
+// expected first. Random candidates instead of the best of all, because many nodes with the same outdated load reports
+// would all pick the same one.
 //
-// Upstreams of one service differ in speed, by a factor of three between the slowest and the quickest. Taken for equals, the
-// slow ones get as much as they can hold, and their runs alone take most of the time within which an answer is worth most.
-// What an upstream's own node has seen of its runs comes with each answer, so a node knows it after one.
+// Upstreams of one service differ in speed, by a factor of three between the slowest and the fastest. Treated as equal,
+// the slow ones get as much as they can hold, and their runs alone take most of the target latency. Each answer carries
+// the run time that the upstream's owner observed, so one answer is enough to know it.
 #pragma once
 
 #include "appletally/config/endpoint.h"
@@ -27,9 +27,9 @@
 
 namespace appletally::policy {
 
-// What an upstream's own node said of the runs of one route there.
+// Run time of one route at one upstream, as reported by its owner.
 struct ReportedRun {
-    double ms = 0; // the usual run lately, over all callers
+    double ms = 0; // usual recent run, over all callers
     base::Time at;
 };
 
@@ -39,37 +39,37 @@
     base::Time readySince; // when this node first saw this incarnation ready
     int inFlight = 0; // sent by this node and not answered
     Load load; // carried by the owner's last answer
-    base::Time loadAt; // when that came
-    int otherLoad = 0; // of that load, what was not this node's own
+    base::Time loadAt; // when that arrived
+    int otherLoad = 0; // the part of that load that was not sent by this node
     double latencyRatio = 1; // moving mean of the time to an answer over the usual one of its route; 2: twice as slow
-    base::Time latencyRatioAt; // of the last answer that went into it
+    base::Time latencyRatioAt; // of the last answer that updated latencyRatio
     std::map<base::RouteName, ReportedRun> runs; // bounded by the routes of the configuration
-    base::Time absentUntil; // nothing goes there before; it was not found where its record says
+    base::Time absentUntil; // no requests before this time; the upstream was not found at its registered host
 };
 
-// What is usual on one route, over all upstreams of the service.
+// Usual latency of one route, over all upstreams of the service.
 struct RouteLatency {
     double mean = 0; // milliseconds to an answer; 0: none yet
-    double run = 0; // milliseconds at the upstream alone, as their nodes tell; 0: none yet
-    double spread = 0.5; // of single runs around that: the deviation of their logarithms, a moving mean
+    double run = 0; // milliseconds at the upstream alone, as reported by the owners; 0: none yet
+    double spread = 0.5; // standard deviation of the logarithm of single runs over the usual run, a moving mean
     double kilobytes = 0; // of an answer, a moving mean
 };
 
-constexpr int64_t totalShare = 1000; // PerMille of all
+constexpr int64_t totalShare = 1000; // the sum of all shares, in thousandths
 
-// Whose turn it is on one route. Each route has its own, or two routes that are asked in turn would send all of one to
-// the old version and all of the other to the new.
+// Smooth weighted round robin over the versions of one route. Each route has its own credits: with common ones, two
+// routes called alternately would send all requests of one to the old version and all of the other to the new.
 using VersionCredits = std::map<base::UpstreamVersion, int64_t>; // credits in thousandths; invariant: they add up to 0
 
-// Switches for tests and measurements; a node leaves them as they are.
+// Switches for tests and measurements; a node keeps the defaults.
 struct RoutingOptions {
     bool useRunTimes = true; // false: upstreams that are less than twice as slow as usual count as equal
-    bool useTargetLatency = true; // false: requests that say within what time an answer is worth most go where it is expected first
+    bool useTargetLatency = true; // false: requests with a target latency also go where their answer is expected first
 };
 
-// What carrying answers costs where that is paid for.
+// The cost of traffic between availability zones.
 struct RoutingCosts {
-    double kilobyteAcrossZones = 0.015; // parts of what an answer in time is worth; 0: nothing
+    double kilobyteAcrossZones = 0.015; // as a part of the value of an answer in time; 0: free
 };
 
 // A node's view of one service.
@@ -88,10 +88,10 @@
 
 struct PickRequest {
     base::RouteName route;
-    std::span<const base::HostId> excluded; // those that a retry or hedge has tried
-    std::optional<base::UpstreamVersion> onlyVersion; // a retry after VersionTakenBack asks for the old version
-    bool mayProbe = true; // false for requests that can't be repeated: no use trying them on an ejected upstream
-    std::optional<base::Duration> targetLatency {}; // an answer after this is worth less to the caller, or nothing
+    std::span<const base::HostId> excluded; // hosts of earlier attempts of a retry or hedge
+    std::optional<base::UpstreamVersion> onlyVersion; // a retry after VersionTakenBack requests the old version
+    bool mayProbe = true; // false for requests that can't be repeated: they must not probe an ejected upstream
+    std::optional<base::Duration> targetLatency {}; // an answer after this is late and of less value, or none, to the caller
 };
 
 struct Pick {
@@ -101,39 +101,40 @@
 
 enum class AnswerKind : uint8_t {
     Good,
-    Failed, // a whole answer with status 5xx, a cut or malformed one
+    Failed, // a complete answer with status 5xx, a truncated or malformed one
     Refused, // not run: overloaded or draining
-    Silent, // no answer within the limit, or the link broke
-    Cancelled, // by us; says nothing about the upstream
-    Absent, // not run: no such upstream is at its host's address, or its node cannot be reached
+    Silent, // no answer within the timeout, or the link broke
+    Cancelled, // by this node; says nothing about the upstream
+    Absent, // not run: no such upstream at its host's address, or its node cannot be reached
 };
 
 struct AnswerReport {
     base::HostId host;
     base::RouteName route;
     AnswerKind kind = AnswerKind::Good;
-    base::Duration elapsed {}; // from sending to the whole answer
-    std::optional<Load> load; // as carried; none where nothing came back
+    base::Duration elapsed {}; // from sending to the complete answer
+    std::optional<Load> load; // carried by the answer; none without an answer
     base::Bytes size {}; // of the answer's body
-    base::Duration runTime {}; // of `took`, at the upstream alone; zero: not known
-    base::Duration usualRun {}; // of the route there, as the upstream's own node says; zero: not known
+    base::Duration runTime {}; // the part of `elapsed` at the upstream alone; zero: unknown
+    base::Duration usualRun {}; // of the route there, as reported by the owner; zero: unknown
 };
 
-// Endpoints that are new or have changed; state Gone removes one. Older (incarnation, sequence) are passed over.
+// New or changed endpoints; state Gone removes one. Older (incarnation, sequence) are ignored.
 void setEndpoints(Router&, std::span<const config::Endpoint>, base::Time now);
 
-// `random` sets where in the sequence of turns this node begins, so that a thousand nodes that boot together don't
-// send their first request all to the same version.
+// `random` sets the position in the sequence of versions at which this node starts, so that a thousand nodes that boot
+// together don't all send their first request to the same version.
 void setShares(Router&, std::span<const config::VersionShare>, uint64_t random, const base::UpstreamVersion& fallbackVersion = {});
 
-// None: no upstream may take it; of a version that has no upstream left, the turn goes to one with at least its share,
-// never to one with less: a new version on trial is not the old one's stand-in. Where that leaves none, to the service's
-// stand-in, which has had all traffic before.
-// A pick counts as in flight until answered() is called for it, exactly once.
+// None: no upstream can take the request. If a version has no upstream left, its requests go to a version with at least
+// its share, never to one with less: a new version on trial must not replace the old one. If there is none, they go to
+// the fallback version, which had all traffic before. A pick counts as in flight until answered() is called for it,
+// exactly once.
 std::optional<Pick> pick(Router&, const PickRequest&, base::Time now, uint64_t random);
 void answered(Router&, const AnswerReport&, base::Time now);
 
-// An owner's node told its load of its own accord, so that what it must stop at once (it drains) needs no answer first.
+// An owner reported its load without a request, so that a draining owner gets no more requests from this node before
+// its next answer.
 void loadReported(Router&, const base::HostId&, const Load&, base::Time now);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/run_estimate.cpp
+++ b/src/appletally/policy/run_estimate.cpp
@@ -7,17 +7,17 @@
 namespace appletally::policy {
 namespace {
 
-    // Runs that the mean remembers. Runs vary by about their own mean, so 16 of them tell it to within a quarter,
-    // which the half of the deadline that admission keeps free absorbs; more would see a slow upstream later.
+    // Runs that the mean covers. Runs vary by about their own mean, so the mean of 16 is within a quarter, which the
+    // half of the deadline that admission keeps free absorbs; more would detect a slow upstream later.
     constexpr int meanWindow = 16;
-    constexpr int unloadedWindow = 64; // what an upstream can do at best changes with its software, not within seconds
-    constexpr double minRunMs = 1; // milliseconds
+    constexpr int unloadedWindow = 64; // the best run time changes with the upstream's software, not within seconds
+    constexpr double minRunMs = 1;
 
-    // One run counts as at most so many usual ones. Runs vary by about their own mean, so fewer than 2 in 100 are longer;
-    // without it a single run that hung for 20 s would have the whole queue refused as hopeless.
+    // One run counts as at most this many usual ones. Runs vary by about their own mean, so fewer than 2 in 100 are
+    // longer; without this limit a single run that hung for 20 s would have the whole queue refused.
     constexpr double maxRunFactor = 4;
 
-    // The first run counts as much as the configuration's word, later ones by the window.
+    // The first run weighs as much as the configured run time, later ones by the window.
     void updateMean(double& mean, int& runs, int window, double sample)
     {
         runs = std::min(runs + 1, window);
--- a/src/appletally/policy/run_estimate.h
+++ b/src/appletally/policy/run_estimate.h
@@ -1,7 +1,7 @@
-// How long a route's requests run at the upstream, learned from those that ended.
+// Run times of a route's requests at the upstream, estimated from those that ended.
 //
-// Load pattern: routes whose length the questionnaire got wrong, or which changes with the day. Without it a queue is
-// measured in requests and not in time, and a request is let in that can't be answered before its caller gives up.
+// Load pattern: routes whose configured run time is wrong or changes with the time of day. Without it a queue is
+// measured in requests and not in time, and requests are admitted that can't be answered before their callers give up.
 #pragma once
 
 #include "appletally/base/clock.h"
@@ -14,25 +14,26 @@
 
 struct RunEstimate {
     double mean = 0; // milliseconds
-    double unloaded = 0; // milliseconds, of runs with at most half of the announced slots taken: what the upstream can do at best
-    int runs = 0; // counted up to the window below
+    double unloaded = 0; // milliseconds, mean of runs with at most half of the announced slots taken: the best that the upstream can do
+    int runs = 0; // counted up to the window of the mean
     int unloadedRuns = 0;
 };
 
 using RunEstimates = std::map<base::RouteName, RunEstimate>; // bounded by the routes of the configuration
 
-// At least 1 ms: a run of no length would make a queue of any number look short. `expected` is the configuration's.
+// At least 1 ms: with runs of zero length a queue of any length would look short. `expected` is the configured run
+// time.
 base::Duration usualRun(const RunEstimates&, const base::RouteName&, base::Duration expected);
 
-// The usual run as far as it was seen here; none before the first one ended.
+// The usual run time observed here; none before the first run ended.
 std::optional<base::Duration> observedRun(const RunEstimates&, const base::RouteName&);
 
-// How many times longer than on a quiet upstream `ran` is; 1 where nothing is known.
+// Ratio of `ran` to the run time on an unloaded upstream; 1 if unknown.
 double slowdown(const RunEstimates&, const base::RouteName&, base::Duration ran);
 
 void addRun(RunEstimates&, const base::RouteName&, base::Duration expected, base::Duration ran, bool unloaded);
 
-// A run that was let in against the mean has ended well within it: the slow runs behind that mean are over.
+// A run admitted although the mean was too long has ended well within it: the slow runs behind that mean are over.
 void discardSlowRuns(RunEstimates&, const base::RouteName&, base::Duration expected, base::Duration ran);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/split.cpp
+++ b/src/appletally/policy/split.cpp
@@ -1,4 +1,4 @@
-// Smooth weighted turns: each part earns its weight, and who has most pays for all.
+// Smooth weighted round robin: each part earns its weight, and the one with the most credit pays the total weight.
 #include "appletally/policy/split.h"
 
 namespace appletally::policy {
--- a/tests/admission_fuzz_test.cpp
+++ b/tests/admission_fuzz_test.cpp
@@ -1,4 +1,4 @@
-// Admission under random commands, against an oracle that only counts.
+// Admission under random commands, checked against an oracle that only counts.
 #include "appletally/policy/admission.h"
 
 #include <catch2/catch.hpp>
@@ -18,7 +18,7 @@
     Duration run;
 };
 
-// What a caller knows: whether it waits, runs or has its final outcome.
+// The caller's view: whether a request waits, runs or has its final outcome.
 struct Oracle {
     Time now {};
     int slots = 4;
@@ -26,7 +26,7 @@
     bool draining = false;
 };
 
-// How often each kind of outcome was met; a run that meets none proves nothing.
+// How often each kind of outcome occurred; a run without some of them proves nothing.
 struct Reached {
     int ran = 0;
     int waited = 0;
@@ -46,11 +46,11 @@
 void settle(Simulation& it, const Refusal& refusal, bool offeredNow)
 {
     const uint64_t id = refusal.id.value;
-    RC_ASSERT(it.running.count(id) == 0); // what runs is never refused
+    RC_ASSERT(it.running.count(id) == 0); // a running request is never refused
     RC_ASSERT(offeredNow || it.waiting.count(id) == 1); // one final outcome each
     RC_ASSERT(it.final.insert(id).second);
     ++(offeredNow ? reached.refusedAtOnce : reached.refusedWaiting);
-    if (!offeredNow) { // not later than when it became hopeless; ticks come on whole milliseconds
+    if (!offeredNow) { // no later than when it became infeasible; ticks come on whole milliseconds
         const Offered& of = it.waiting.at(id);
         RC_ASSERT(it.now <= of.deadline - of.run + Duration { 1 });
     }
@@ -60,13 +60,13 @@
 void begin(Simulation& it, uint64_t id)
 {
     RC_ASSERT(it.waiting.count(id) == 1);
-    RC_ASSERT(it.now + it.waiting.at(id).run <= it.waiting.at(id).deadline); // never started in vain
+    RC_ASSERT(it.now + it.waiting.at(id).run <= it.waiting.at(id).deadline); // never started too late for its deadline
     it.running[id] = it.waiting.at(id);
     it.waiting.erase(id);
     RC_ASSERT(static_cast<int>(it.running.size()) <= it.admission.slots.limit);
 }
 
-void follow(Simulation& it, const AdmissionChanges& changes)
+void applyChanges(Simulation& it, const AdmissionChanges& changes)
 {
     for (const Refusal& refusal : changes.refused)
         settle(it, refusal, false);
@@ -88,7 +88,7 @@
 using Command = rc::state::Command<Oracle, Simulation>;
 
 struct Offer : Command {
-    // Runs of one route are always as long as it says, so the oracle knows exactly what is hopeless.
+    // All runs of one route take equally long, so the oracle knows exactly which requests are infeasible.
     int route = *rc::gen::inRange(0, 4);
     int caller = *rc::gen::inRange(0, 3);
     int slack = *rc::gen::inRange(-10, 900);
@@ -118,7 +118,7 @@
     void show(std::ostream& out) const override { out << "offer " << route << " caller " << caller << " slack " << slack; }
 };
 
-// Time passes; every tick is kept, and runs end when they should.
+// Time passes; every tick is on time, and runs end when they should.
 struct Pass : Command {
     int ms = *rc::gen::inRange(1, 400);
     void apply(Oracle& it) const override { it.now = it.now + Duration { ms }; }
@@ -127,7 +127,7 @@
         const Time end = it.now + Duration { ms };
         while (it.now < end) {
             it.now = std::min(end, nextTick(it.admission, it.now));
-            follow(it, tick(it.admission, it.now));
+            applyChanges(it, tick(it.admission, it.now));
             check(it);
         }
     }
@@ -145,7 +145,7 @@
         const auto [id, of] = *at;
         it.running.erase(at);
         RC_ASSERT(it.final.insert(id).second);
-        follow(it, finished(it.admission, { id }, cancelled ? RunEnd::Cancelled : RunEnd::Good, of.run, it.now));
+        applyChanges(it, finished(it.admission, { id }, cancelled ? RunEnd::Cancelled : RunEnd::Good, of.run, it.now));
         check(it);
     }
     void show(std::ostream& out) const override { out << "finish " << which; }
@@ -161,7 +161,7 @@
         const uint64_t id = at->first;
         it.waiting.erase(at);
         RC_ASSERT(it.final.insert(id).second);
-        follow(it, cancel(it.admission, { id }, it.now));
+        applyChanges(it, cancel(it.admission, { id }, it.now));
         check(it);
     }
     void show(std::ostream& out) const override { out << "give up " << which; }
@@ -172,7 +172,7 @@
     void apply(Oracle& it) const override { it.slots = count; }
     void run(const Oracle&, Simulation& it) const override
     {
-        follow(it, setSlots(it.admission, count, it.now));
+        applyChanges(it, setSlots(it.admission, count, it.now));
         RC_ASSERT(it.admission.slots.limit <= count);
         check(it);
     }
@@ -180,11 +180,11 @@
 };
 
 struct Drain : Command {
-    Drain() { RC_PRE(*rc::gen::inRange(0, 8) == 0); } // nothing is let in after it, so not too soon
+    Drain() { RC_PRE(*rc::gen::inRange(0, 8) == 0); } // nothing is admitted after it, so it must be rare
     void apply(Oracle& it) const override { it.draining = true; }
     void run(const Oracle&, Simulation& it) const override
     {
-        follow(it, drain(it.admission, it.now));
+        applyChanges(it, drain(it.admission, it.now));
         check(it);
     }
     void show(std::ostream& out) const override { out << "drain"; }
@@ -192,14 +192,14 @@
 
 } // namespace
 
-TEST_CASE("every request gets one final outcome and none is held back once it is hopeless", "[policy][fuzz]")
+TEST_CASE("every request gets one final outcome and none waits once it is infeasible", "[policy][fuzz]")
 {
-    // Bursts, long jobs, slots that come and go, callers that give up and a shutdown, in any order. A request that is
-    // forgotten in the queue leaves its caller without an answer; one that runs beside full slots slows all others.
+    // Bursts, long jobs, changing slots, cancelling callers and a shutdown, in any order. Guards against: a request
+    // forgotten in the queue, whose caller gets no answer, and one that runs beyond the limit, which slows all others.
     const bool held = rc::check("admission", [] {
         for (int n = 0; n < 10; ++n) {
             Simulation simulation;
-            follow(simulation, setSlots(simulation.admission, 4, simulation.now));
+            applyChanges(simulation, setSlots(simulation.admission, 4, simulation.now));
             rc::state::check(Oracle {}, simulation, rc::state::gen::execOneOfWithArgs<Offer, Offer, Offer, Offer, Offer, Offer, Pass, Pass, Finish, Finish, Finish, GiveUp, Slots, Drain>());
         }
     });
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -1,4 +1,4 @@
-// Admission, classes, fairness, long jobs and the observed limit, judged by what callers receive.
+// Admission, classes, fairness, long jobs and the adaptive limit, measured by what callers receive.
 #include "appletally/policy/collapse.h"
 #include "load_model.h"
 
@@ -11,7 +11,7 @@
 
 constexpr Duration runLength { 20'000 };
 
-// One upstream under the same streams with the given rules.
+// One upstream under the given streams and rules.
 Model under(Queueing queueing, std::vector<Stream> streams, int slots = 10, AdmissionOptions options = {}, uint64_t seed = 7)
 {
     Model model;
@@ -37,7 +37,7 @@
     return model;
 }
 
-// Slot time of answers that came in time, as a share of what the upstream could have given.
+// Slot time of answers in time, as a share of the upstream's capacity.
 double capacityUsed(const Model& model)
 {
     double work = 0;
@@ -66,11 +66,11 @@
 
 } // namespace
 
-TEST_CASE("ten times what one upstream can do", "[policy][overload]")
+TEST_CASE("ten times the capacity of one upstream", "[policy][overload]")
 {
-    // A vessel is late, and every agent in the port refreshes its berth page. The upstream is asked ten times what it
-    // can do, among it a crew's plug commands and the month's archives. With a plain queue the crew's command waits
-    // behind thousands of page loads that nobody looks at any more.
+    // Guards against: commands lost behind reads under sustained overload. The upstream gets ten times its capacity,
+    // among it commands and archives. With a plain queue a command waits behind thousands of reads whose callers have
+    // given up.
     const auto [slots, slot] = GENERATE(table<int, const char*>({ { 10, "Marsa Volt" }, { 6, "Hlyab za Vsichki" } }));
     INFO(slot);
     const std::vector<Stream> streams = {
@@ -87,17 +87,17 @@
     CHECK(with.tallies[0].goodput() >= 0.99);
     CHECK(plain.tallies[0].goodput() <= 0.1);
     CHECK(quantile(with.tallies[0].waits, 0.99) <= 150);
-    CHECK(with.tallies[2].inTime * 400 >= 0.06 * slots * runLength.ms); // of the floor of a tenth, less its first wait
+    CHECK(with.tallies[2].inTime * 400 >= 0.06 * slots * runLength.ms); // of the minimum share of a tenth, less its first wait
     for (const Tally& it : with.tallies)
         CHECK(it.late == 0);
     CHECK(quantile(with.tallies[1].refusedAfter, 0.99) <= 100);
 }
 
-TEST_CASE("reads below surges of commands and lookups are refused at once or served", "[policy][overload]")
+TEST_CASE("reads below bursts of commands and lookups are refused at once or served", "[policy][overload]")
 {
-    // Half of the slots go to commands and to tariff lookups, which come in surges, two to archives, and reads ask for
-    // many times what is left. Let in by what the others hold on average, a member stares at an empty page for half a
-    // second and is refused then.
+    // Guards against: reads that wait half a second and are refused then. Half of the slots go to bursts of commands
+    // and lookups, two to archives, and the reads are many times what is left. Admitted by the mean load of the other
+    // classes, too many of them wait in vain.
     const std::vector<Stream> streams = {
         { "members", "choices", Priority::Read, 1050, 20, Duration { 2000 }, {}, Time { 1 << 30 }, false, false, 0, 200 },
         { "pauses", "pause", Priority::Command, 60, 20, Duration { 1000 }, {}, Time { 1 << 30 }, false, false, 0, 200 },
@@ -114,9 +114,9 @@
 
 TEST_CASE("a burst of half a second", "[policy][burst]")
 {
-    // A tug's radio call sends everyone to the same page at once: ten times the capacity for half a second, then half
-    // of it again. A plain queue works off the burst for callers that have left, and those who come afterwards find
-    // it still full, for five seconds more.
+    // Guards against: a burst that outlasts its cause. Ten times the capacity for half a second, then half of it again.
+    // A plain queue works off the burst for callers that have given up, and later callers find it full for five seconds
+    // more.
     const std::vector<Stream> streams = {
         { "calm", "berth", Priority::Read, 250, 20, Duration { 500 }, {}, Time { 1 << 30 }, false, false, 0, 40 },
         { "burst", "berth", Priority::Read, 5000, 20, Duration { 500 }, Time { 5000 }, Time { 5500 }, false, true, 0, 1000 },
@@ -131,14 +131,14 @@
     const Tally& burst = with.tallies[1];
     CHECK(burst.late == 0);
     CHECK(quantile(burst.refusedAfter, 0.5) <= 1);
-    CHECK(burst.retried == burst.refused); // each was told when to come back,
-    CHECK(burst.retriedInTime >= 0.9 * burst.retried); // and there was room then
+    CHECK(burst.retried == burst.refused); // each refusal had a retry time,
+    CHECK(burst.retriedInTime >= 0.9 * burst.retried); // and there were free slots then
 }
 
-TEST_CASE("a harbour master who refreshes twenty times as often as others", "[policy][hot-caller]")
+TEST_CASE("one caller sends far more requests than the others", "[policy][hot-caller]")
 {
-    // One caller asks for twice the whole capacity. First come, first served gives it nearly all, and nine others, who
-    // together ask for half of what is there, get what is left over.
+    // Guards against: one caller that takes the slots of all others. It sends twice the whole capacity. First come,
+    // first served gives it nearly all, and nine others, who together need half of the capacity, get what is left.
     std::vector<Stream> streams = { { "master", "berth", Priority::Read, 1000, 20, Duration { 1000 } } };
     for (int n = 0; n < 9; ++n)
         streams.push_back({ "agent" + std::to_string(n), "berth", Priority::Read, 28, 20, Duration { 1000 } });
@@ -154,15 +154,15 @@
         CHECK(without.tallies[n].goodput() <= 0.6);
     }
     CHECK(with.tallies[0].inTime >= 0.4 * 500 * 20); // what the others leave is still the hot caller's
-    CHECK(quantile(with.tallies[0].refusedAfter, 0.99) <= 10); // and what it can't have is refused at once
+    CHECK(quantile(with.tallies[0].refusedAfter, 0.99) <= 10); // and its excess is refused at once
     CHECK(with.tallies[0].late <= 5);
     CHECK(capacityUsed(with) >= 0.9);
 }
 
-TEST_CASE("the catalogue service asks for route lists while drivers do", "[policy][hot-caller]")
+TEST_CASE("an internal service shares a route with people", "[policy][hot-caller]")
 {
-    // Before dispatch the catalogue service requests every route list, far faster than drivers do. Both ask the same
-    // route, so their class is the same; first come, first served leaves the drivers standing at the gate.
+    // Guards against: a service that starves people on the same route and in the same class. It sends far more requests
+    // than they do; first come, first served leaves them behind its queue.
     std::vector<Stream> streams = { { "catalogue", "routes", Priority::Lookup, 900, 20, Duration { 1000 }, {}, { 1 << 30 }, true } };
     for (int n = 0; n < 12; ++n)
         streams.push_back({ "driver" + std::to_string(n), "routes", Priority::Lookup, 10, 20, Duration { 1000 } });
@@ -175,14 +175,14 @@
     for (size_t n = 1; n < streams.size(); ++n)
         CHECK(with.tallies[n].goodput() >= 0.98);
     CHECK(without.tallies[1].goodput() <= 0.6);
-    CHECK(with.tallies[0].inTime >= 0.5 * 150 * 20); // the catalogue gets all that the drivers leave
+    CHECK(with.tallies[0].inTime >= 0.5 * 150 * 20); // the service gets all that the others leave
     CHECK(quantile(with.tallies[0].refusedAfter, 0.99) <= 100);
 }
 
-TEST_CASE("archives among page loads", "[policy][long-jobs]")
+TEST_CASE("long jobs among short requests", "[policy][long-jobs]")
 {
-    // On the first of the month clerks pull archives that run for a second and a half. A slot can't be taken back
-    // from one that runs, so with a bound on nothing they sit in all slots and every page load waits for one to end.
+    // Guards against: long jobs in all slots. Archives run for 1.5 s and are never preempted; without a bound they fill
+    // all slots and every page load waits for one to end.
     const int slots = GENERATE(10, 6);
     const std::vector<Stream> streams = {
         { "clerk", "archive", Priority::Archive, 12, 1500, Duration { 30'000 } },
@@ -202,10 +202,9 @@
     CHECK(with.tallies[0].inTime * 1500 >= 0.25 * 20'000 * slots * 0.9); // the part that they may hold is used
 }
 
-TEST_CASE("sheets at dawn take all slots but those kept free", "[policy][long-jobs]")
+TEST_CASE("long jobs without short requests use all slots but those kept free", "[policy][long-jobs]")
 {
-    // Before anybody else is awake bakers download their sheets. Bounded to the part that holds during the day, the
-    // ovens would wait beside idle slots.
+    // Guards against: long jobs that wait beside idle slots. Without short requests they may use more than their share.
     const Model model = under(Queueing::Admission, { { "bakers", "sheets", Priority::Archive, 10, 800, Duration { 30'000 } } }, 6);
     show("dawn", model);
     CHECK(model.tallies[0].inTime * 800 >= 0.9 * 4 * runLength.ms);
@@ -213,8 +212,8 @@
 
 TEST_CASE("an upstream that thrashes when all its slots are taken", "[policy][slow-upstream]")
 {
-    // The upstream announces ten slots, yet its own store serves four at once well; beyond that each one more slows
-    // all. Filled to its ceiling it does half of what it could.
+    // Guards against: thrashing. The upstream announces ten slots, yet its own store handles only four at once well;
+    // each one more slows all. Filled to its announced slots it does half of what it could.
     const auto thrashing = [](int running, Time) { return running <= 4 ? 1.0 : 1.0 + 0.75 * (running - 4); };
     const std::vector<Stream> streams = { { "agents", "berth", Priority::Read, 400, 20, Duration { 1000 } } };
     AdmissionOptions ceiling;
@@ -224,8 +223,8 @@
     for (uint64_t seed = 1; seed <= seeds; ++seed) {
         const Model with = underSlowdown(thrashing, streams, {}, seed);
         const Model without = underSlowdown(thrashing, streams, ceiling, seed);
-        show("observed limit", with);
-        show("announced ceiling", without);
+        show("adaptive limit", with);
+        show("announced slots", without);
         const double gained = static_cast<double>(with.tallies[0].inTime) / without.tallies[0].inTime;
         CHECK(gained >= 1.2);
         CHECK(with.upstreams[0].admission.slots.limit <= 7);
@@ -236,8 +235,8 @@
 
 TEST_CASE("an upstream that is merely slow keeps its slots", "[policy][slow-upstream]")
 {
-    // Its disk is three times slower since a neighbour moved in, whatever is running at once. A limit that only
-    // watches run time would close slot after slot, and lose work for nothing.
+    // Guards against: a limit lowered in vain. The upstream is three times slower at any concurrency. A limit that only
+    // watches run time would drop slot after slot, and lose throughput.
     const auto slow = [](int, Time now) { return now < Time { 3000 } ? 1.0 : 3.0; };
     const std::vector<Stream> streams = { { "agents", "berth", Priority::Read, 400, 20, Duration { 1000 } } };
     AdmissionOptions ceiling;
@@ -245,16 +244,16 @@
     const auto seed = static_cast<uint64_t>(GENERATE(range(1, 9)));
     const Model with = underSlowdown(slow, streams, {}, seed);
     const Model without = underSlowdown(slow, streams, ceiling, seed);
-    show("observed limit", with);
-    show("announced ceiling", without);
+    show("adaptive limit", with);
+    show("announced slots", without);
     CHECK(with.tallies[0].inTime >= 0.93 * without.tallies[0].inTime);
     CHECK(with.tallies[0].late <= 0.02 * with.tallies[0].offered);
 }
 
-TEST_CASE("an upstream that hung is used again", "[policy][slow-upstream]")
+TEST_CASE("an upstream that hung is used again after it recovers", "[policy][slow-upstream]")
 {
-    // Its store hangs while patient callers ask, and their runs take far longer than the next callers can wait. When it
-    // is well again each of these is refused as hopeless; if only ended runs taught the node how long runs take, for ever.
+    // Guards against: an upstream unused after a hang. Runs of callers with long deadlines take far longer than other
+    // callers can wait. If only ended runs updated the estimate, all later callers would be refused for ever.
     const auto hanging = [](int, Time now) { return now > Time { 8000 } ? 1.0 : 200.0; };
     const std::vector<Stream> streams = {
         { "clerk", "berth", Priority::Read, 3, 20, Duration { 20'000 }, {}, Time { 7000 } },
@@ -265,9 +264,10 @@
     CHECK(model.tallies[1].goodput() >= 0.85);
 }
 
-TEST_CASE("long jobs spread out one second after the last short request", "[policy][long-jobs]")
+TEST_CASE("long jobs use more slots one second after the last short request", "[policy][long-jobs]")
 {
-    // Four bakers ask within a second of a driver's call. The fourth must not wait for a slot that stands idle.
+    // Guards against: a long job that waits for an idle slot. Four arrive within a second of a short request; the
+    // fourth must start as soon as that second is over.
     Admission it;
     const auto sheet = [](uint64_t id) {
         return Arrival { { id }, { "baker" }, { "sheets" }, Priority::Archive, Duration { 3000 }, Time { 60'000 } };
@@ -281,10 +281,10 @@
     CHECK(tick(it, Time { 1000 }).start == std::vector<RequestId> { { 5 } });
 }
 
-TEST_CASE("an upstream that sheds is given less, and more again later", "[policy][slow-upstream]")
+TEST_CASE("an upstream that sheds load gets a lower limit, which rises again later", "[policy][slow-upstream]")
 {
-    // The upstream refuses by itself although it announced ten slots; each such refusal is a request lost to it. The
-    // node believes what it sees, and asks for more only after a while.
+    // Guards against: requests lost to an upstream that sheds load below its announced slots. Each shed lowers the
+    // limit, which rises again only after several windows.
     ConcurrencyLimit it;
     CHECK(onShed(it, 7));
     CHECK(it.limit == 6);
@@ -301,13 +301,13 @@
     CHECK(it.limit == 3);
 }
 
-TEST_CASE("a new upstream process is judged afresh, and cold", "[policy][slow-upstream]")
+TEST_CASE("a new upstream process starts without its predecessor's estimates, in slow start", "[policy][slow-upstream]")
 {
-    // A slow version is replaced by a good one on the same host. Judged by its predecessor's runs, it would refuse every
-    // caller with a short deadline, and use only the slots that the old one could bear.
+    // Guards against: a new upstream process treated like its slow predecessor on the same host. Every caller with a
+    // short deadline would be refused, and the slots would stay at the old limit.
     Admission it;
     const Arrival page { { 1 }, { "agent" }, { "berth" }, Priority::Read, Duration { 20 }, Time { 500 } };
-    CHECK(load(it, Time { 0 }).slowStartProgress.value == 1000); // of an upstream that was there before its node nothing else is known
+    CHECK(load(it, Time { 0 }).slowStartProgress.value == 1000); // an upstream that is older than its node counts as warm
     CHECK(offer(it, page, Time { 0 }).action == AdmissionAction::Run);
     for (uint64_t id = 2; id < 40; ++id) {
         finished(it, { id - 1 }, RunEnd::Good, Duration { 900 }, Time { 0 });
@@ -326,7 +326,8 @@
 
 TEST_CASE("refreshes of one page share one run and all get the answer", "[policy][hot-caller]")
 {
-    // A harbour master presses refresh while the last load is still under way, then closes the first tab.
+    // Guards against: duplicate runs, and lost answers when the caller of the first request leaves. A page is refreshed
+    // while its last load is still running, then the first tab is closed.
     Collapse it;
     const ReadKey key { { "master" }, { "berth" }, "/berths/7" };
     CHECK(join(it, key, { 1 }));
@@ -334,14 +335,14 @@
     CHECK_FALSE(join(it, key, { 3 }));
     CHECK(join(it, { { "agent" }, { "berth" }, "/berths/7" }, { 4 })); // another caller's answer may differ
     CHECK(join(it, { { "master" }, { "berth" }, "/berths/8" }, { 5 }));
-    CHECK_FALSE(leave(it, { 1 })); // the run goes on for the others
+    CHECK_FALSE(leave(it, { 1 })); // the run continues for the others
     CHECK_FALSE(leave(it, { 2 }));
     CHECK(ended(it, { 1 }) == std::vector<RequestId> { { 3 } });
     CHECK(ended(it, { 1 }).empty());
     CHECK(join(it, key, { 6 })); // a later read sees a later state
     CHECK_FALSE(join(it, key, { 7 }));
     CHECK_FALSE(leave(it, { 7 }));
-    CHECK(leave(it, { 6 }) == RequestId { 6 }); // nobody wants it: cancel the run
+    CHECK(leave(it, { 6 }) == RequestId { 6 }); // no waiters left: cancel the run
     CHECK(join(it, key, { 8 }));
     CHECK(ended(it, { 4 }) == std::vector<RequestId> { { 4 } });
     CHECK(ended(it, { 5 }) == std::vector<RequestId> { { 5 } });
--- a/tests/load_model.h
+++ b/tests/load_model.h
@@ -1,7 +1,7 @@
-// A few callers and upstreams on an event queue in simulated milliseconds, to judge policy/ by what callers receive.
+// Callers and upstreams on an event queue in simulated milliseconds, to measure policy/ by what callers receive.
 //
 // Callers are open streams (they don't wait for earlier answers), runs are exponential, and a caller gives up at its
-// deadline. Everything follows from the seed. No sockets, no membership, no loss: this is a load, not a cluster.
+// deadline. The run is determined by the seed. It models load only: no sockets, no membership, no message loss.
 #pragma once
 
 #include "appletally/policy/admission.h"
@@ -36,12 +36,12 @@
     Time from {};
     Time to { 1 << 30 };
     bool internal = false;
-    bool retriesAfterRefusal = false; // once, when a refusal said so
+    bool retriesAfterRefusal = false; // once, if the refusal had a retry time
     int zone = 0; // of the caller's node
-    int callers = 1; // that ask in turn
-    Duration attemptTimeout {}; // of one try; zero: the whole time
+    int callers = 1; // that send in turn
+    Duration attemptTimeout {}; // of one attempt; zero: the whole timeout
     double spread = 0; // of the runs' logarithms; 0: runs are exponential
-    Duration targetLatency {}; // within which an answer is worth most; zero: not said
+    Duration targetLatency {}; // zero: none
     uint64_t answerBytes = 0;
 };
 
@@ -52,7 +52,7 @@
     int late = 0; // gave up at the deadline without an answer
     int refused = 0;
     int failed = 0; // answered with an error
-    int retried = 0; // came back when told
+    int retried = 0; // sent again at the retry time of the refusal
     int retriedInTime = 0;
     std::vector<int64_t> waits; // of those answered in time: sending to answer
     std::vector<int64_t> refusedAfter; // sending to refusal
@@ -79,15 +79,15 @@
     return of[static_cast<size_t>(q * static_cast<double>(of.size() - 1))];
 }
 
-enum class Queueing { Admission, // the module
-    Fifo, // unbounded, first come, first served, and what was given up on runs all the same
-    FifoDropping }; // the same, but given-up requests are dropped while they wait
-enum class Choosing { Routing, // the module
+enum class Queueing { Admission, // policy::Admission
+    Fifo, // unbounded, first come, first served; abandoned requests run all the same
+    FifoDropping }; // the same, but abandoned requests are dropped while they wait
+enum class Choosing { Routing, // policy::Router
     RoundRobin };
 
 enum class Retrying { None,
-    Budget, // the module
-    Unbounded }; // three tries each
+    Budget, // policy::RetryBudget
+    Unbounded }; // three attempts each
 
 struct Upstream {
     int slots = 10;
@@ -96,12 +96,12 @@
     std::function<bool(const std::string& route, Time now)> fails = [](const std::string&, Time) { return false; }; // at once
     double pauseShare = 0; // share of runs that take fifty times as long, whatever the load
     std::string version = "v1";
-    Time from {}; // announced to callers' nodes
+    Time from {}; // announced to ingress nodes
     Admission admission;
     std::deque<size_t> fifo;
     int running = 0;
     int taken = 0; // requests that reached it
-    bool tickScheduled = false; // a tick is due
+    bool tickScheduled = false;
 };
 
 struct Model {
@@ -112,16 +112,16 @@
     bool hedging = false;
     HedgeBudget hedges;
     LatencyEstimate slowAnswer;
-    int sent = 0; // tries of all kinds
+    int sent = 0; // attempts of all kinds
     int crossed = 0; // of these, to another availability zone
     Duration roundTrip { 0 }; // between two availability zones
     std::vector<Upstream> upstreams;
     std::vector<Stream> streams;
     std::vector<Tally> tallies; // one for each stream
-    std::vector<Router> routers; // one node for callers in each zone
+    std::vector<Router> routers; // one ingress node in each zone
     std::mt19937_64 random { 1 };
 
-    struct Call { // what a caller waits for
+    struct Call { // one request of a caller
         size_t stream = 0;
         Time sent;
         Time deadline;
@@ -178,7 +178,7 @@
     size_t m_turn = 0;
     std::vector<double> m_next; // next arrival of each stream
 
-    // The next arrival after the one before it, which lay between two milliseconds.
+    // Arrivals are kept in fractions of a millisecond and rounded up to the next event.
     Time next(size_t n)
     {
         m_next[n] += std::exponential_distribution<>(streams[n].perSecond / 1000)(random);
@@ -196,14 +196,14 @@
             const config::Endpoint endpoint { { std::to_string(n) }, { "s" }, { it.version }, { std::to_string(it.zone) }, {}, {}, it.slots,
                 config::EndpointState::Ready, { 1 }, { 1 } };
             if (it.from > now)
-                at(it.from, [this, endpoint] { announceAll({ endpoint }); });
+                at(it.from, [this, endpoint] { announceEndpoints({ endpoint }); });
             else
                 there.push_back(endpoint);
         }
-        announceAll(there);
+        announceEndpoints(there);
     }
 
-    void announceAll(const std::vector<config::Endpoint>& endpoints)
+    void announceEndpoints(const std::vector<config::Endpoint>& endpoints)
     {
         for (Router& it : routers)
             setEndpoints(it, endpoints, now);
@@ -250,7 +250,7 @@
         ++it.sentAttempts;
         ++sent;
         crossed += stream.zone == upstreams[*chosen].zone ? 0 : 1;
-        at(now + networkDelay(stream.zone, upstreams[*chosen].zone) / 2, [this, id] { reach(id); });
+        at(now + networkDelay(stream.zone, upstreams[*chosen].zone) / 2, [this, id] { arriveAtUpstream(id); });
         if (stream.attemptTimeout.ms > 0)
             at(now + stream.attemptTimeout, [this, id] { abandon(id, AnswerKind::Silent); });
     }
@@ -269,7 +269,7 @@
         return picked ? std::optional<size_t>(std::stoul(picked->host.text)) : std::nullopt;
     }
 
-    void reach(size_t id)
+    void arriveAtUpstream(size_t id)
     {
         Attempt& it = attempts[id];
         Upstream& up = upstreams[it.upstream];
@@ -304,7 +304,7 @@
         upstreams[n].tickScheduled = true;
         at(nextTick(upstreams[n].admission, now), [this, n] {
             upstreams[n].tickScheduled = false;
-            follow(tick(upstreams[n].admission, now));
+            apply(tick(upstreams[n].admission, now));
             if (load(upstreams[n].admission, now).waiting > 0)
                 scheduleTick(n);
         });
@@ -350,27 +350,27 @@
         const Duration ran = now - it.started;
         it.ran = ran;
         if (queueing == Queueing::Admission)
-            follow(finished(up.admission, { id }, fails ? RunEnd::Failed : RunEnd::Good, ran, now));
+            apply(finished(up.admission, { id }, fails ? RunEnd::Failed : RunEnd::Good, ran, now));
         else
             startFifo(up);
         const Duration delay = networkDelay(streams[calls[it.call].stream].zone, up.zone);
-        at(now + (delay - delay / 2), [this, id, fails] { arriveBack(id, fails); });
+        at(now + (delay - delay / 2), [this, id, fails] { arriveAtCaller(id, fails); });
     }
 
-    void arriveBack(size_t id, bool fails)
+    void arriveAtCaller(size_t id, bool fails)
     {
         const Attempt& it = attempts[id];
         if (!it.open)
             return;
-        settle(id, fails ? AnswerKind::Failed : AnswerKind::Good);
+        closeAttempt(id, fails ? AnswerKind::Failed : AnswerKind::Good);
         if (!fails)
             finish(it.call, Outcome::Good, Duration {});
-        else if (!again(it.call, base::Code::UpstreamBroke, false))
+        else if (!scheduleRetry(it.call, base::Code::UpstreamBroke, false))
             finish(it.call, Outcome::Failed, Duration {});
     }
 
-    // A try is over; its caller's node learns from it.
-    void settle(size_t id, AnswerKind kind)
+    // An attempt is over; the ingress records its result.
+    void closeAttempt(size_t id, AnswerKind kind)
     {
         Attempt& it = attempts[id];
         it.open = false;
@@ -394,13 +394,13 @@
     void refuse(const Refusal& refusal)
     {
         const size_t callId = attempts[refusal.id.value].call;
-        settle(refusal.id.value, AnswerKind::Refused);
-        if (!again(callId, refusal.code, false))
+        closeAttempt(refusal.id.value, AnswerKind::Refused);
+        if (!scheduleRetry(callId, refusal.code, false))
             finish(callId, Outcome::Refused, refusal.retryAfter);
     }
 
-    // True: another try is on its way, or still under way.
-    bool again(size_t callId, base::Code code, bool refusedDownstream)
+    // True: another attempt is scheduled, or still in flight.
+    bool scheduleRetry(size_t callId, base::Code code, bool refusedDownstream)
     {
         const Call& it = calls[callId];
         if (!it.open || !it.attempts.empty())
@@ -419,21 +419,21 @@
         return true;
     }
 
-    // The node has given up on this try: the upstream is told, and the slot is free where it listens.
+    // The ingress abandons this attempt: the upstream is notified, and the slot is free if it supports cancellation.
     void abandon(size_t id, AnswerKind kind)
     {
         Attempt& it = attempts[id];
         if (!it.open)
             return;
         const size_t callId = it.call;
-        settle(id, kind);
+        closeAttempt(id, kind);
         if (queueing == Queueing::Admission) {
             Upstream& up = upstreams[it.upstream];
             up.running -= it.running ? 1 : 0;
             it.running = false;
-            follow(cancel(up.admission, { id }, now));
+            apply(cancel(up.admission, { id }, now));
         }
-        if (calls[callId].open && !again(callId, base::Code::OutcomeUnknown, false))
+        if (calls[callId].open && !scheduleRetry(callId, base::Code::OutcomeUnknown, false))
             finish(callId, Outcome::Late, Duration {});
     }
 
@@ -481,7 +481,7 @@
         }
     }
 
-    void follow(const AdmissionChanges& changes)
+    void apply(const AdmissionChanges& changes)
     {
         for (const RequestId id : changes.start)
             begin(id.value);
--- a/tests/retry_test.cpp
+++ b/tests/retry_test.cpp
@@ -1,4 +1,4 @@
-// Retries, hedges and deadlines, judged by what callers receive and by what upstreams are asked.
+// Retries, hedges and deadlines, measured by what callers receive and by the load on upstreams.
 #include "load_model.h"
 
 #include <catch2/catch.hpp>
@@ -33,9 +33,9 @@
     return it;
 }
 
-// One call through layers that each retry what comes back failed; returns how often the lowest service is asked.
+// One call through layers that each retry failed answers; returns how often the lowest service is called.
 struct Layers {
-    std::vector<RetryBudget> budgets; // one for each layer; empty: three tries each
+    std::vector<RetryBudget> budgets; // one for each layer; empty: three attempts each
     bool stopsAbove = true; // whether the header that stops retries above is sent
     Code bottom = Code::Overloaded; // what the lowest service always answers
     int calls = 0;
@@ -65,10 +65,10 @@
 
 } // namespace
 
-TEST_CASE("a full service at the bottom of seven layers is not asked many times over", "[policy][overload]")
+TEST_CASE("retries do not multiply across seven layers above a full service", "[policy][overload]")
 {
-    // Dispatch asks the catalogue, that asks for route lists, and so on, seven deep; the last one is full or fails. With
-    // three tries in each layer one click asks it 2187 times, and it never gets room to recover.
+    // Guards against: retries that multiply across layers. Seven services call one another, and the last one is full or
+    // fails. With three attempts in each layer one call reaches it 2187 times, and it cannot recover.
     const Code code = GENERATE(Code::Overloaded, Code::UpstreamBroke);
     const auto calls = [&](Layers it) {
         it.bottom = code;
@@ -85,14 +85,15 @@
     CHECK(calls({ budgets, false, code, 0 }) >= 200 * 1.5); // budgets alone still multiply, by a tenth in each layer
 }
 
-TEST_CASE("an upstream that stood still for a second gets over it", "[policy][burst]")
+TEST_CASE("the mesh recovers after an upstream pauses for a second", "[policy][burst]")
 {
-    // At two thirds of its capacity an upstream pauses for a second. Callers' nodes try again after 300 ms, so the load
-    // doubles, more tries time out, and the upstream goes on working for tries that were given up, long after the pause.
+    // Guards against: a retry storm that outlasts its cause. At two thirds of its capacity an upstream pauses for a
+    // second. Ingress nodes retry after 300 ms, so the load doubles, more attempts time out, and the upstream goes on
+    // working on abandoned attempts long after the pause.
     const auto run = [](Retrying retrying) {
         Model model;
         model.random.seed(3);
-        model.queueing = Queueing::Fifo; // that works on for those who have left, as an upstream without cancellation does
+        model.queueing = Queueing::Fifo; // runs abandoned requests too, like an upstream without cancellation
         model.retrying = retrying;
         model.upstreams.resize(3);
         for (Upstream& it : model.upstreams)
@@ -106,13 +107,13 @@
     const Model with = run(Retrying::Budget);
     const Model without = run(Retrying::Unbounded);
     show("budget", with);
-    show("three tries", without);
-    CHECK(with.tallies[1].goodput() >= 0.99); // nine seconds after the pause all is well,
-    CHECK(without.tallies[1].goodput() <= 0.1); // and without a budget it never will be
+    show("three attempts", without);
+    CHECK(with.tallies[1].goodput() >= 0.99); // it has recovered nine seconds after the pause,
+    CHECK(without.tallies[1].goodput() <= 0.1); // and without a budget it never does
     CHECK(with.sent <= 1.12 * (with.tallies[0].offered + with.tallies[1].offered));
 }
 
-TEST_CASE("retries repair what one broken upstream breaks", "[policy][slow-upstream]")
+TEST_CASE("retries hide the failures of one broken upstream", "[policy][slow-upstream]")
 {
     const auto run = [](Retrying retrying) {
         Model model;
@@ -134,7 +135,8 @@
 
 TEST_CASE("an upstream that pauses now and then is hedged, within the budget", "[policy][slow-upstream]")
 {
-    // One run in a hundred takes fifty times as long, on every upstream alike; routing can't help.
+    // Guards against: the latency of random pauses, and hedges that add to an overload. One run in a hundred takes
+    // fifty times as long on every upstream, which routing cannot avoid.
     const auto run = [](bool hedging, double perSecond, bool allPause = false) {
         Model model;
         model.random.seed(9);
@@ -161,14 +163,14 @@
     show("hedged overload", full);
     show("overload", fullWithout);
     CHECK(full.tallies[0].inTime >= 0.97 * fullWithout.tallies[0].inTime);
-    const Model pausing = run(true, 600, true); // the store below all of them pauses: each read is late, no copy helps
+    const Model pausing = run(true, 600, true); // a shared store pauses: each read is late, no copy helps
     show("all pause", pausing);
     CHECK(pausing.sent <= 1.06 * pausing.tallies[0].offered);
 }
 
-TEST_CASE("what may be tried again", "[policy]")
+TEST_CASE("which attempts may be retried", "[policy]")
 {
-    // A plug disconnect that may have run must never be sent twice, whatever broke; a page load may.
+    // Guards against: a request that may have run and is not idempotent, sent twice.
     struct Row {
         Code code;
         int attempts;
@@ -202,7 +204,7 @@
         { Code::Internal, 1, false, false, false },
     };
     for (const Row& row : rows) {
-        INFO(base::info(row.code).name << " tries " << row.attempts << " refused below " << row.refusedDownstream);
+        INFO(base::info(row.code).name << " attempts " << row.attempts << " refused downstream " << row.refusedDownstream);
         for (const bool idempotent : { false, true }) {
             RetryBudget budget;
             FailedAttempt failed = failedTry(row.code, idempotent, row.attempts);
@@ -216,14 +218,15 @@
     const RetryDecision decision = mayRetry(spent, failedTry(Code::OutcomeUnknown, true), Time { 0 }, 1);
     CHECK_FALSE(decision.retry);
     CHECK(decision.code == Code::OutcomeUnknown); // it may have run: RetryBudgetSpent would say that it did not
-    CHECK(mayRetry(spent, failedTry(Code::Draining, false), Time { 0 }, 1).retry); // costs nobody anything
-    CHECK(mayRetry(spent, failedTry(Code::NoRoom, false), Time { 0 }, 1).retry); // no upstream heard of it
+    CHECK(mayRetry(spent, failedTry(Code::Draining, false), Time { 0 }, 1).retry); // adds no load
+    CHECK(mayRetry(spent, failedTry(Code::NoRoom, false), Time { 0 }, 1).retry); // no upstream received it
     CHECK_FALSE(mayRetry(spent, failedTry(Code::Overloaded, false), Time { 0 }, 1).retry); // one did
 }
 
-TEST_CASE("an earlier try that may have run is not forgotten", "[policy]")
+TEST_CASE("the final code accounts for an earlier attempt that may have run", "[policy]")
 {
-    // The first try broke off in the middle, the second found the upstream full. "Not run" would be a lie.
+    // Guards against: "not run" for a request that may have run. The first attempt broke off, the second found the
+    // upstream full.
     CHECK(finalCode(true, Code::Overloaded) == Code::OutcomeUnknown);
     CHECK(finalCode(true, Code::NoUpstream) == Code::OutcomeUnknown);
     CHECK(finalCode(true, Code::DeadlinePassed) == Code::DeadlinePassed);
@@ -232,10 +235,10 @@
     CHECK(timeLeft(Time { 100 }, Time { 99 }, Duration { 2 }).ms < 0);
 }
 
-TEST_CASE("a call that found no upstream there is tried elsewhere, at no cost to the budget", "[policy]")
+TEST_CASE("a call to an absent upstream is retried elsewhere without a budget token", "[policy]")
 {
-    // A node has died, or its upstream has, and the news is on its way. Nothing has run, so its callers lose nothing by asking
-    // the next one; refused, they wait for seconds beside idle upstreams.
+    // Guards against: calls refused beside idle upstreams. A node or its upstream has died, and its record has not
+    // expired yet. Nothing has run, so the request can go to another upstream at no cost.
     RetryBudget budget;
     budget.tokens = 0;
     FailedAttempt failed;
--- a/tests/routing_fuzz_test.cpp
+++ b/tests/routing_fuzz_test.cpp
@@ -1,4 +1,4 @@
-// Routing and shared reads under random commands, against oracles that only count.
+// Routing and shared reads under random commands, checked against oracles that only count.
 #include "appletally/policy/collapse.h"
 #include "appletally/policy/routing.h"
 
@@ -18,7 +18,7 @@
 
 constexpr int hostCount = 6;
 
-struct Known { // what was last announced of a host, by the latest (incarnation, sequence)
+struct Known { // last announcement of a host, by the latest (incarnation, sequence)
     config::Endpoint endpoint;
     bool reportedDraining = false; // by an answer
 };
@@ -79,7 +79,7 @@
 struct Picks : Command {
     std::string route = *rc::gen::element<std::string>("a", "b");
     uint64_t random = *rc::gen::arbitrary<uint64_t>();
-    int excluded = *rc::gen::inRange(0, 2 * hostCount); // as often none
+    int excluded = *rc::gen::inRange(0, 2 * hostCount); // none in half of the cases
     void run(const Oracle&, Simulation& it) const override
     {
         const std::vector<base::HostId> tried { { std::to_string(excluded) } };
@@ -100,7 +100,7 @@
         if (it.shares.empty())
             return;
         RC_ASSERT(it.shares.at(chosen->version.text) > 0);
-        // The one on trial never gets more than its turns, whatever happens to the other.
+        // The version on trial never exceeds its share, whatever happens to the other.
         const int share = it.shares.at("new");
         if (share < 500)
             RC_ASSERT(counts["new"] * 1000 - counts["all"] * share <= 1000);
@@ -140,10 +140,10 @@
 
 } // namespace
 
-TEST_CASE("no pick goes where it must not", "[policy][fuzz]")
+TEST_CASE("picks only go to ready hosts, not excluded, of a version with a share", "[policy][fuzz]")
 {
-    // Records cross, hosts drain and restart, answers fail, shares change. A request sent to a draining host is cut or
-    // refused, one sent to a version that was taken back runs on the bad version.
+    // Records arrive out of order, hosts drain and restart, answers fail, shares change. Guards against: a request sent
+    // to a draining host, which is cut or refused, and one sent to a version without a share, which may be bad.
     int picked = 0;
     int none = 0;
     const bool held = rc::check("routing", [&] {
@@ -163,12 +163,12 @@
 
 TEST_CASE("each shared read is answered once, by its own run", "[policy][fuzz]")
 {
-    // Two tabs, a closed one, an answer that arrives just then. A reader that is forgotten waits for ever; one that is
-    // answered from another page's run sees the wrong berth.
+    // Concurrent reads, disconnects and answers in any order. Guards against: a read that is forgotten and waits for
+    // ever, and one that gets another page's answer.
     const bool held = rc::check("collapse", [] {
         Collapse it;
         std::map<uint64_t, int> waiting; // request: its page
-        std::map<int, uint64_t> runOf; // page: the run under way
+        std::map<int, uint64_t> runOf; // page: its current run
         uint64_t next = 0;
         const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(rc::gen::pair(rc::gen::inRange(0, 6), rc::gen::inRange(0, 20)));
         for (const auto& [what, which] : steps) {
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -1,4 +1,4 @@
-// Routing and outliers, judged by what callers receive, and the exactness of version shares.
+// Routing and outliers, measured by what callers receive, and the exactness of version shares.
 #include "load_model.h"
 
 #include <catch2/catch.hpp>
@@ -10,7 +10,7 @@
 
 namespace {
 
-// As many upstreams as there are, spread over three availability zones, and equal callers in each.
+// Upstreams spread over three availability zones.
 Model mesh(int upstreams, int slots, Duration roundTrip)
 {
     Model model;
@@ -60,7 +60,7 @@
 
 constexpr Duration runLength { 20'000 };
 
-// The same mesh with the module and with round robin; the owners' admission is there in both.
+// The same mesh with policy::Router and with round robin; owners use admission in both.
 template <typename SetUp>
 std::pair<Model, Model> against(int upstreams, int slots, Duration roundTrip, SetUp setUp)
 {
@@ -92,8 +92,8 @@
 
 TEST_CASE("one upstream becomes ten times slower", "[policy][slow-upstream]")
 {
-    // Its host swaps. Round robin goes on sending it its share, so one call in six (in three) waits for it, and on a
-    // page of seven calls hardly anybody gets through without.
+    // Guards against: a slow upstream that keeps its share. Under round robin one call in six (in three) waits for it,
+    // and hardly a page of seven calls loads without one.
     const auto [upstreams, slots, way] = GENERATE(table<int, int, int>({ { 6, 10, 3 }, { 3, 6, 1 } }));
     const double load = 0.5 * 50 * slots * upstreams;
     const auto [with, plain] = against(upstreams, slots, Duration { way }, [&](Model& it) {
@@ -105,7 +105,7 @@
     CHECK(quantile(total(with).waits, 0.99) <= quantile(total(plain).waits, 0.99));
 }
 
-TEST_CASE("a slow upstream loses its traffic within tens of answers", "[policy][slow-upstream]")
+TEST_CASE("a slow upstream loses its traffic within tens of answers and regains it", "[policy][slow-upstream]")
 {
     Router it = routerOf({ endpoint("1", "v"), endpoint("2", "v"), endpoint("3", "v") });
     const auto send = [&](int count, bool slow, Time from) {
@@ -122,13 +122,13 @@
     CHECK(send(300, false, Time { 0 }) >= 60);
     CHECK(send(60, true, Time { 3000 }) <= 6); // of 20
     CHECK(send(60, true, Time { 3600 }) <= 2);
-    CHECK(send(1500, false, Time { 4200 }) >= 200); // well again: tried, and back
+    CHECK(send(1500, false, Time { 4200 }) >= 200); // recovered: gets requests again
 }
 
-TEST_CASE("all callers of one availability zone come at once", "[policy][burst]")
+TEST_CASE("overload of one availability zone spills over to others", "[policy][burst]")
 {
-    // The harbour of one zone wakes up: its callers ask one and a half times what the zone's own upstreams can do,
-    // while the other zones sleep. Kept at home they would be refused beside idle upstreams.
+    // Guards against: calls refused beside idle upstreams. The callers of one zone send one and a half times the
+    // capacity of the zone's own upstreams, while the other zones are idle.
     Model model = mesh(6, 10, Duration { 3 });
     model.streams.push_back(
         { "agents", "berth", Priority::Read, 1500, 20, Duration { 1000 }, {}, Time { 1 << 30 }, false, false, 0, 50 });
@@ -147,8 +147,9 @@
 
 TEST_CASE("a cold upstream joins under load", "[policy][burst]")
 {
-    // A restarted upstream has empty caches and is eight times slower for its first seconds. Given its full share at
-    // once it is buried before it is warm, and the callers sent there wait.
+    // Guards against: a cold upstream overloaded as it starts. A restarted upstream has empty caches and is eight times
+    // slower for its first seconds. Given its full share at once, its queue grows before it is warm, and its callers
+    // wait.
     int taken = 0;
     constexpr uint64_t seeds = 4;
     for (uint64_t seed = 11; seed < 11 + seeds; ++seed) {
@@ -164,13 +165,13 @@
         CHECK(with.upstreams[2].taken >= 800); // it does get its share once it is warm,
         taken += with.upstreams[2].taken;
     }
-    CHECK(taken >= 1000 * static_cast<int>(seeds)); // of 1320 that a third would be
+    CHECK(taken >= 1000 * static_cast<int>(seeds)); // of 1320, which would be a third
 }
 
-TEST_CASE("upstreams of one service that differ in speed by three", "[policy][placement]")
+TEST_CASE("upstreams of one service that differ in speed by a factor of three", "[policy][placement]")
 {
-    // Two of six berth-side upstreams run on old hosts at half the speed, one on a new one at half as much again. Taken for
-    // equals, the old ones are kept as full as the others, and crews whose switch goes there wait through its run.
+    // Guards against: slow upstreams kept as full as fast ones. Two of six run at half the speed, one at 1.5 times.
+    // Treated as equal, callers of the slow ones miss their target latency.
     for (const double load : { 0.5, 0.7, 0.85, 1.1, 1.5, 2.0 }) {
         const auto simulate = [&](bool useRunTimes, bool prioritizeTimely, uint64_t seed) {
             Model model = mesh(6, 9, Duration { 3 });
@@ -201,12 +202,12 @@
         Tally before;
         Tally equals; // with the same order at the owners as `after`
         Tally after;
-        for (uint64_t seed = 11; seed < 15; ++seed) { // one day's luck moves a total by one in a hundred
+        for (uint64_t seed = 11; seed < 15; ++seed) { // chance moves the total of one run by 1%
             before += simulate(false, false, seed);
             equals += simulate(false, true, seed);
             after += simulate(true, true, seed);
         }
-        INFO("load " << load << ": within their aim " << before.inTarget << " of " << before.offered << " before, " << after.inTarget << " after; at all " << before.inTime << " and " << after.inTime);
+        INFO("load " << load << ": within the target latency " << before.inTarget << " of " << before.offered << " before, " << after.inTarget << " after; at all " << before.inTime << " and " << after.inTime);
         CHECK(after.shareInTarget() >= before.shareInTarget() * (load < 1 ? 1.02 : 1.0));
         CHECK(after.goodput() >= before.goodput() * 0.99);
         CHECK(after.goodput() >= equals.goodput() * 0.99);
@@ -215,11 +216,12 @@
     }
 }
 
-TEST_CASE("one upstream in each zone, of different speeds, and answers that cost something to carry across", "[policy][placement]")
+TEST_CASE("one upstream in each zone, of different speeds, and traffic between zones at a cost", "[policy][placement]")
 {
-    // Accountants' form pages: each zone has one upstream, the quickest takes a third of the slowest's time. Judged by the
-    // expected time alone, zones with a slow one send nearly all pages across, which operators pay for, and the quick one
-    // fills up; kept at home at any price, a page in ten comes late beside idle slots.
+    // Guards against: needless traffic between zones, which costs money, and late answers beside idle slots. Each zone
+    // has one upstream, the fastest takes a third of the slowest's time. By expected time alone, zones with a slow
+    // upstream send nearly all requests to the fast one, which fills up; with all requests kept in their zone one in
+    // ten is late.
     for (const double load : { 0.4, 0.6, 0.8, 1.2 }) {
         const auto simulate = [&](bool useTargetLatency) {
             Model model = mesh(3, 6, Duration { 1 });
@@ -241,23 +243,22 @@
                 inTarget += it.inTarget;
                 offered += it.offered;
             }
-            UNSCOPED_INFO("load " << load << (useTargetLatency ? " by worth: " : " by time: ") << inTarget << " of " << offered << " in aim, " << model.crossed << " crossed");
+            UNSCOPED_INFO("load " << load << (useTargetLatency ? " by target latency: " : " by time: ") << inTarget << " of " << offered << " within the target latency, " << model.crossed << " crossed");
             if (std::getenv("SHOW"))
-                std::printf("load %.1f %s: %d of %d in aim, %d crossed\n", load, useTargetLatency ? "worth" : "time", inTarget, offered, model.crossed);
+                std::printf("load %.1f %s: %d of %d within the target latency, %d crossed\n", load, useTargetLatency ? "by target latency" : "by time", inTarget, offered, model.crossed);
             return std::pair(static_cast<double>(inTarget) / offered, static_cast<double>(model.crossed) / offered);
         };
         const auto [timelyBefore, crossedBefore] = simulate(false);
         const auto [timelyAfter, crossedAfter] = simulate(true);
         const double cost = RoutingCosts {}.kilobyteAcrossZones * 5;
-        CHECK(timelyAfter - crossedAfter * cost > timelyBefore - crossedBefore * cost); // what callers get, less what carrying it costs
+        CHECK(timelyAfter - crossedAfter * cost > timelyBefore - crossedBefore * cost); // value to callers, less the cost of traffic
         CHECK(timelyAfter >= timelyBefore - 0.01);
     }
 }
 
-TEST_CASE("an upstream whose node says that it is warm has its share at once", "[policy][placement]")
+TEST_CASE("an upstream that is reported as warm gets its full share at once", "[policy][placement]")
 {
-    // An upstream is replaced by one that was warmed up beside it. Held back for as long as the coldest takes, it idles for
-    // ten seconds while members wait at the others.
+    // Guards against: an upstream that idles for ten seconds of slow start although its owner reports that it is warm.
     Router it = routerOf({ endpoint("1", "v"), endpoint("2", "v") });
     setEndpoints(it, std::vector { endpoint("3", "v") }, Time { 20'000 });
     const auto share = [&](base::PerMille warm) {
@@ -280,10 +281,10 @@
     CHECK(share({ 100 }) <= 4);
 }
 
-TEST_CASE("an upstream that fails at once draws no traffic for it", "[policy][slow-upstream]")
+TEST_CASE("an upstream that fails fast attracts no traffic", "[policy][slow-upstream]")
 {
-    // Its store is gone and it answers with an error in a millisecond, so it always looks idle. By load alone nearly
-    // every call would go to it.
+    // Guards against: a failing upstream that attracts traffic. It answers with an error within a millisecond, so it
+    // always looks idle; by load alone it would get nearly every call.
     const auto [with, plain] = against(6, 10, Duration { 3 }, [](Model& it) {
         addCallers(it, 1500);
         it.upstreams[4].fails = [](const std::string&, Time now) { return now >= Time { 5000 } && now < Time { 12'000 }; };
@@ -305,9 +306,10 @@
     CHECK(model.upstreams[0].taken >= 2500); // of about 3333
 }
 
-TEST_CASE("when all upstreams fail none is blamed", "[policy][overload]")
+TEST_CASE("when all upstreams fail none is ejected", "[policy][overload]")
 {
-    // What they all depend on is down. Ejecting one after the other would send the whole load to the last one.
+    // Guards against: ejections while a shared dependency is down. Ejecting one after the other would send the whole
+    // load to the last one.
     Model model = mesh(3, 6, Duration { 1 });
     addCallers(model, 300);
     for (Upstream& it : model.upstreams)
@@ -322,7 +324,8 @@
 
 TEST_CASE("version shares are exact", "[policy]")
 {
-    // At a trial share of 5% with 20 requests an hour, "about 5%" by chance may well be a quarter of them.
+    // Guards against: shares drawn at random. At a trial share of 5% and 20 requests an hour, "about 5%" may well be a
+    // quarter of them.
     for (const int share : { 0, 1, 50, 333, 500, 999, 1000 }) {
         Router it = routerOf({ endpoint("1", "old"), endpoint("2", "old"), endpoint("3", "new") });
         const std::vector<config::VersionShare> shares { { { "new" }, { share } }, { { "old" }, { 1000 - share } } };
@@ -337,10 +340,10 @@
     }
 }
 
-TEST_CASE("two routes that are asked in turn both meet the new version", "[policy]")
+TEST_CASE("two routes that are called alternately both reach the new version", "[policy]")
 {
-    // Each page load is followed by a tariff lookup. With one sequence of turns for all routes, at equal shares every
-    // page load went to one version and every lookup to the other; a version bad on one of them would look perfect.
+    // Guards against: one sequence of versions for all routes. If two routes are called alternately, at equal shares
+    // each of them would go to one version only, and a version that fails on one route would look perfect.
     Router it = routerOf({ endpoint("1", "old"), endpoint("2", "new") });
     setShares(it, std::vector<config::VersionShare> { { { "new" }, { 500 } }, { { "old" }, { 500 } } }, 3);
     std::map<std::string, int> toNew;
@@ -352,7 +355,7 @@
     CHECK(toNew["berth"] == 250);
 }
 
-TEST_CASE("a thousand nodes that boot together share out the trial between them", "[policy][burst]")
+TEST_CASE("a thousand nodes that boot together send the trial version its share of first requests", "[policy][burst]")
 {
     const std::vector<config::VersionShare> shares { { { "new" }, { 50 } }, { { "old" }, { 950 } } };
     int first = 0;
@@ -364,10 +367,10 @@
     CHECK(first == 50);
 }
 
-TEST_CASE("a trial version never stands in for the old one", "[policy][overload]")
+TEST_CASE("a trial version never takes the traffic of the old one", "[policy][overload]")
 {
-    // All upstreams of the old version go away, or fail. If its turns went to the version on trial, a bad version
-    // would suddenly have all the traffic.
+    // Guards against: all traffic on a bad version. The upstreams of the old version leave or fail; its requests must
+    // not go to the version on trial.
     const std::vector<config::VersionShare> shares { { { "new" }, { 50 } }, { { "old" }, { 950 } } };
     Router it = routerOf({ endpoint("1", "old"), endpoint("2", "new") });
     setShares(it, shares, 0);
@@ -378,7 +381,7 @@
     int none = 0;
     for (uint64_t n = 0; n < 1000; ++n)
         none += pick(it, { { "r" }, {}, {} }, Time { 2 }, n) ? 0 : 1;
-    CHECK(none == 950); // the version on trial keeps to its turns
+    CHECK(none == 950); // the version on trial keeps to its share
 
     Router other = routerOf({ endpoint("1", "old"), endpoint("2", "new") });
     setShares(other, shares, 0);
@@ -391,7 +394,7 @@
 }
 
 // Guards against: requests refused for a version without upstreams while those of the version before it are ready.
-TEST_CASE("the stand-in takes what no version with a share has an upstream for, and nothing else", "[policy]")
+TEST_CASE("the fallback version takes requests only if no version with a share has an upstream", "[policy]")
 {
     Router it = routerOf({ endpoint("1", "old"), endpoint("2", "new"), endpoint("3", "bad") });
     setShares(it, std::vector<config::VersionShare> { { { "old" }, { 0 } }, { { "new" }, { 1000 } } }, 0, { "old" });
@@ -407,10 +410,10 @@
     CHECK_FALSE(pick(it, { { "r" }, {}, {} }, Time { 2 }, 1));
 }
 
-TEST_CASE("a version that fails on one route loses that route only", "[policy][slow-upstream]")
+TEST_CASE("a version that fails on one route is ejected on that route only", "[policy][slow-upstream]")
 {
-    // The new version can't read the archives any more; its page loads are fine. Half of its upstreams would have to
-    // fail before each is ejected by itself, and a third of them may be at most.
+    // Guards against: a version ejected as a whole for one failing route. At most a third of its upstreams may be
+    // ejected one by one, which is not enough here.
     const std::vector<config::Endpoint> hosts { endpoint("1", "old"), endpoint("2", "old"), endpoint("3", "new"), endpoint("4", "new") };
     const auto send = [&](const std::string& bad, int share) {
         Router it = routerOf(hosts);
@@ -427,15 +430,16 @@
         }
         return count;
     };
-    CHECK(send("new", 500)["archive failed"] <= 12); // of 500: the five that show it, and the probes
+    CHECK(send("new", 500)["archive failed"] <= 12); // of 500: the five before the ejection, and the probes
     CHECK(send("new", 500)["berth new"] >= 480);
-    CHECK(send("old", 200)["archive new"] <= 201); // the old one's failures don't raise the share of the one on trial
+    CHECK(send("old", 200)["archive new"] <= 201); // failures of the old version don't raise the share of the one on trial
 }
 
-TEST_CASE("an upstream whose slow answers are cancelled is seen as slow all the same", "[policy][slow-upstream]")
+TEST_CASE("cancelled slow attempts count against a slow upstream", "[policy][slow-upstream]")
 {
-    // Each slow read is hedged, the copy wins and the slow one is cancelled. If cancelled ones told nothing, the slow
-    // upstream would keep its share, and every third read would be made twice for ever.
+    // Guards against: a slow upstream that keeps its share because its slow answers are cancelled. Each slow read is
+    // hedged, the copy wins and the slow one is cancelled; if cancelled attempts did not count, every third read would
+    // be sent twice for ever.
     Router it = routerOf({ endpoint("1", "v"), endpoint("2", "v"), endpoint("3", "v") });
     int toSlow = 0;
     for (int n = 0; n < 200; ++n) {
@@ -448,7 +452,7 @@
     CHECK(toSlow <= 20); // of 66
 }
 
-TEST_CASE("crossed endpoint records and excluded hosts", "[policy]")
+TEST_CASE("endpoint records out of order and excluded hosts", "[policy]")
 {
     Router it = routerOf({ endpoint("1", "v"), endpoint("2", "v") });
     config::Endpoint draining = endpoint("1", "v");
--- a/tests/target_latency_test.cpp
+++ b/tests/target_latency_test.cpp
@@ -1,4 +1,4 @@
-// Overload of callers whose answers are worth most within a time: how many get theirs in it.
+// Overload of callers with a target latency: how many get their answers within it.
 #include "appletally/policy/admission.h"
 
 #include <catch2/catch.hpp>
@@ -26,8 +26,8 @@
     int late = 0;
 };
 
-// One upstream's node. Callers who are refused come back once, when they were told to or after a third of what they have
-// left, as members' phones do.
+// The owner of one upstream. Refused callers retry once, after the refusal's retry time or a third of their remaining
+// time, whichever is sooner.
 class Simulation {
 public:
     Simulation(double load, bool reportTarget, AdmissionOptions options = {})
@@ -108,11 +108,11 @@
             const Duration elapsed = m_now - m_callers[id].first;
             m_result.inTarget += elapsed <= targetLatency ? 1 : 0;
             m_result.late += elapsed > targetLatency && elapsed <= deadline ? 1 : 0;
-            follow(finished(m_admission, id, RunEnd::Good, { ran }, m_now));
+            apply(finished(m_admission, id, RunEnd::Good, { ran }, m_now));
         });
     }
 
-    void follow(const AdmissionChanges& it)
+    void apply(const AdmissionChanges& it)
     {
         for (const Refusal& each : it.refused)
             refused(each);
@@ -143,32 +143,31 @@
 
 } // namespace
 
-TEST_CASE("at one and a half times capacity callers get their answers while these are worth most", "[policy][overload]")
+TEST_CASE("under overload more callers get their answers within the target latency", "[policy][overload]")
 {
-    // The subscription service loses a third of its upstreams at noon. Everybody who waits a third of the time left is
-    // answered after the page has stopped looking quick, and those behind them as well; refused at once, some of them come
-    // back to a free slot.
+    // Guards against: late answers for all under overload. If every request may wait a third of its remaining time, it
+    // misses its target, and those behind it as well; refused at once, some of them find a free slot on retry.
     for (const double load : { 1.2, 1.5, 2.0 }) {
         const Result before = Simulation(load, false).run();
         const Result after = Simulation(load, true).run();
-        INFO("load " << load << ": in time " << before.inTarget << " of " << before.offered << " and late " << before.late << " before, " << after.inTarget << " and " << after.late << " after");
+        INFO("load " << load << ": within target " << before.inTarget << " of " << before.offered << " and late " << before.late << " before, " << after.inTarget << " and " << after.late << " after");
         CHECK(after.inTarget >= before.inTarget * 1.04);
         CHECK(after.inTarget + after.late >= (before.inTarget + before.late) * 0.97); // no capacity is lost for it
     }
     const Result before = Simulation(0.7, false).run();
     const Result after = Simulation(0.7, true).run();
     CHECK(after.inTarget >= before.inTarget);
-    CHECK(after.inTarget >= after.offered * 0.97); // no overload: nobody is turned away for it
+    CHECK(after.inTarget >= after.offered * 0.97); // no overload: no requests are rejected for it
 }
 
-TEST_CASE("in an overload those who can still be answered in time do not stand behind those who cannot", "[policy][overload]")
+TEST_CASE("under overload requests that can meet their target go before those that cannot", "[policy][overload]")
 {
-    // After an outage everybody comes back at once. Those who were refused have little time left; let in again in the order in
-    // which they come, they are answered late, and each of them makes one late who had just come.
+    // Guards against: requests with little time left that make others late. After an outage all callers return at once;
+    // served in order of arrival, retried requests are answered late, and each of them makes a new one late.
     for (const double load : { 1.2, 1.5, 2.0 }) {
         const Result before = Simulation(load, true, { .retryWithinTarget = false, .prioritizeTimely = false }).run();
         const Result after = Simulation(load, true, { .retryWithinTarget = false }).run();
-        INFO("load " << load << ": in time " << before.inTarget << " of " << before.offered << " and late " << before.late << " before, " << after.inTarget << " and " << after.late << " after");
+        INFO("load " << load << ": within target " << before.inTarget << " of " << before.offered << " and late " << before.late << " before, " << after.inTarget << " and " << after.late << " after");
         CHECK(after.inTarget >= before.inTarget * 1.1);
         CHECK(after.inTarget + after.late >= (before.inTarget + before.late) * 0.95); // slots do not idle for it
     }
@@ -177,10 +176,10 @@
     CHECK(after.inTarget + after.late >= before.inTarget + before.late);
 }
 
-TEST_CASE("callers who are refused come back while their answer is still worth most", "[policy][overload]")
+TEST_CASE("refused callers retry while they can still meet their target", "[policy][overload]")
 {
-    // A quarter of a service is cold, or a page is opened in all offices at once. Told to come back when the whole rush is
-    // over, callers come back too late for an answer that looks quick, and nearly all who could have been served a moment later are lost.
+    // Guards against: retry times after the target latency. Part of a service is cold, or many callers come at once. If
+    // retries wait for the end of the overload, nearly all callers that could have been served a moment later are lost.
     const auto simulate = [](double load, bool retryWithinTarget, int together) {
         Simulation it(load, true, { .retryWithinTarget = retryWithinTarget });
         for (int64_t from = 2000; together > 0 && from < 30'000; from += 2000)
@@ -190,7 +189,7 @@
     for (const auto& [load, together] : { std::pair(0.5, 18), std::pair(0.7, 12), std::pair(1.2, 0), std::pair(1.5, 0), std::pair(2.0, 0) }) {
         const Result before = simulate(load, false, together);
         const Result after = simulate(load, true, together);
-        INFO("load " << load << ", " << together << " together: in time " << before.inTarget << " of " << before.offered << " and late " << before.late << " before, " << after.inTarget << " and " << after.late << " after");
+        INFO("load " << load << ", " << together << " together: within target " << before.inTarget << " of " << before.offered << " and late " << before.late << " before, " << after.inTarget << " and " << after.late << " after");
         CHECK(after.inTarget >= before.inTarget);
         CHECK(after.inTarget + after.late >= (before.inTarget + before.late) * 0.97);
     }
