--- a/tests/admission_fuzz_test.cpp
+++ b/tests/admission_fuzz_test.cpp
@@ -1,4 +1,4 @@
-// Admission under random commands, against an oracle that only counts.
+// Admission under random commands, checked against an oracle that only counts.
 #include "appletally/policy/admission.h"
 
 #include <catch2/catch.hpp>
@@ -18,7 +18,7 @@
     Duration run;
 };
 
-// What a caller knows: whether it waits, runs or has its final outcome.
+// The caller's view: whether a request waits, runs or has its final outcome.
 struct Oracle {
     Time now {};
     int slots = 4;
@@ -26,7 +26,7 @@
     bool draining = false;
 };
 
-// How often each kind of outcome was met; a run that meets none proves nothing.
+// How often each kind of outcome occurred; a run without some of them proves nothing.
 struct Reached {
     int ran = 0;
     int waited = 0;
@@ -35,7 +35,7 @@
     int refusedWaiting = 0;
 } reached;
 
-struct World {
+struct Simulation {
     Admission admission;
     Time now {};
     std::map<uint64_t, Offered> waiting;
@@ -43,40 +43,40 @@
     std::set<uint64_t> final;
 };
 
-void settle(World& it, const Refusal& refusal, bool offeredNow)
+void settle(Simulation& it, const Refusal& refusal, bool offeredNow)
 {
     const uint64_t id = refusal.id.value;
-    RC_ASSERT(it.running.count(id) == 0); // what runs is never refused
+    RC_ASSERT(it.running.count(id) == 0); // a running request is never refused
     RC_ASSERT(offeredNow || it.waiting.count(id) == 1); // one final outcome each
     RC_ASSERT(it.final.insert(id).second);
     ++(offeredNow ? reached.refusedAtOnce : reached.refusedWaiting);
-    if (!offeredNow) { // not later than when it became hopeless; ticks come on whole milliseconds
+    if (!offeredNow) { // no later than when it became infeasible; ticks come on whole milliseconds
         const Offered& of = it.waiting.at(id);
         RC_ASSERT(it.now <= of.deadline - of.run + Duration { 1 });
     }
     it.waiting.erase(id);
 }
 
-void begin(World& it, uint64_t id)
+void begin(Simulation& it, uint64_t id)
 {
     RC_ASSERT(it.waiting.count(id) == 1);
-    RC_ASSERT(it.now + it.waiting.at(id).run <= it.waiting.at(id).deadline); // never started in vain
+    RC_ASSERT(it.now + it.waiting.at(id).run <= it.waiting.at(id).deadline); // never started too late for its deadline
     it.running[id] = it.waiting.at(id);
     it.waiting.erase(id);
     RC_ASSERT(static_cast<int>(it.running.size()) <= it.admission.slots.limit);
 }
 
-void follow(World& it, const Followup& followup)
+void applyChanges(Simulation& it, const AdmissionChanges& changes)
 {
-    for (const Refusal& refusal : followup.refused)
+    for (const Refusal& refusal : changes.refused)
         settle(it, refusal, false);
-    for (const RequestId id : followup.start) {
+    for (const RequestId id : changes.start) {
         ++reached.startedLater;
         begin(it, id.value);
     }
 }
 
-void check(const World& it)
+void check(const Simulation& it)
 {
     const Load now = load(it.admission, it.now);
     RC_ASSERT(now.running == static_cast<int>(it.running.size()));
@@ -85,16 +85,16 @@
         RC_ASSERT(it.now <= of.deadline); // none waits past its deadline
 }
 
-using Command = rc::state::Command<Oracle, World>;
+using Command = rc::state::Command<Oracle, Simulation>;
 
 struct Offer : Command {
-    // Runs of one route are always as long as it says, so the oracle knows exactly what is hopeless.
+    // All runs of one route take equally long, so the oracle knows exactly which requests are infeasible.
     int route = *rc::gen::inRange(0, 4);
     int caller = *rc::gen::inRange(0, 3);
     int slack = *rc::gen::inRange(-10, 900);
     bool internal = *rc::gen::arbitrary<bool>();
     void apply(Oracle& it) const override { ++it.next; }
-    void run(const Oracle& before, World& it) const override
+    void run(const Oracle& before, Simulation& it) const override
     {
         static const int runs[] = { 20, 5, 60, 350 };
         const Duration run { runs[route] };
@@ -102,15 +102,15 @@
             it.now + run + Duration { slack }, internal };
         it.waiting[before.next] = { arrival.deadline, run };
         const Decision decision = offer(it.admission, arrival, it.now);
-        ++(decision.verdict == Verdict::Run ? reached.ran : reached.waited);
-        if (decision.verdict == Verdict::Run)
+        ++(decision.action == AdmissionAction::Run ? reached.ran : reached.waited);
+        if (decision.action == AdmissionAction::Run)
             begin(it, before.next);
-        if (decision.verdict == Verdict::Refuse) {
+        if (decision.action == AdmissionAction::Refuse) {
             --reached.waited;
             settle(it, decision.refusal, true);
         }
-        RC_ASSERT(slack >= 0 || decision.verdict == Verdict::Refuse);
-        RC_ASSERT(!before.draining || decision.verdict == Verdict::Refuse);
+        RC_ASSERT(slack >= 0 || decision.action == AdmissionAction::Refuse);
+        RC_ASSERT(!before.draining || decision.action == AdmissionAction::Refuse);
         for (const Refusal& other : decision.displaced)
             settle(it, other, false);
         check(it);
@@ -118,16 +118,16 @@
     void show(std::ostream& out) const override { out << "offer " << route << " caller " << caller << " slack " << slack; }
 };
 
-// Time passes; every tick is kept, and runs end when they should.
+// Time passes; every tick is on time, and runs end when they should.
 struct Pass : Command {
     int ms = *rc::gen::inRange(1, 400);
     void apply(Oracle& it) const override { it.now = it.now + Duration { ms }; }
-    void run(const Oracle&, World& it) const override
+    void run(const Oracle&, Simulation& it) const override
     {
         const Time end = it.now + Duration { ms };
         while (it.now < end) {
             it.now = std::min(end, nextTick(it.admission, it.now));
-            follow(it, tick(it.admission, it.now));
+            applyChanges(it, tick(it.admission, it.now));
             check(it);
         }
     }
@@ -137,7 +137,7 @@
 struct Finish : Command {
     int which = *rc::gen::inRange(0, 10);
     bool cancelled = *rc::gen::arbitrary<bool>();
-    void run(const Oracle&, World& it) const override
+    void run(const Oracle&, Simulation& it) const override
     {
         if (it.running.empty())
             return;
@@ -145,7 +145,7 @@
         const auto [id, of] = *at;
         it.running.erase(at);
         RC_ASSERT(it.final.insert(id).second);
-        follow(it, finished(it.admission, { id }, cancelled ? RunEnd::Cancelled : RunEnd::Good, of.run, it.now));
+        applyChanges(it, finished(it.admission, { id }, cancelled ? RunEnd::Cancelled : RunEnd::Good, of.run, it.now));
         check(it);
     }
     void show(std::ostream& out) const override { out << "finish " << which; }
@@ -153,7 +153,7 @@
 
 struct GiveUp : Command {
     int which = *rc::gen::inRange(0, 10);
-    void run(const Oracle&, World& it) const override
+    void run(const Oracle&, Simulation& it) const override
     {
         if (it.waiting.empty())
             return;
@@ -161,7 +161,7 @@
         const uint64_t id = at->first;
         it.waiting.erase(at);
         RC_ASSERT(it.final.insert(id).second);
-        follow(it, cancel(it.admission, { id }, it.now));
+        applyChanges(it, cancel(it.admission, { id }, it.now));
         check(it);
     }
     void show(std::ostream& out) const override { out << "give up " << which; }
@@ -170,9 +170,9 @@
 struct Slots : Command {
     int count = *rc::gen::inRange(1, 12);
     void apply(Oracle& it) const override { it.slots = count; }
-    void run(const Oracle&, World& it) const override
+    void run(const Oracle&, Simulation& it) const override
     {
-        follow(it, setSlots(it.admission, count, it.now));
+        applyChanges(it, setSlots(it.admission, count, it.now));
         RC_ASSERT(it.admission.slots.limit <= count);
         check(it);
     }
@@ -180,11 +180,11 @@
 };
 
 struct Drain : Command {
-    Drain() { RC_PRE(*rc::gen::inRange(0, 8) == 0); } // nothing is let in after it, so not too soon
+    Drain() { RC_PRE(*rc::gen::inRange(0, 8) == 0); } // nothing is admitted after it, so it must be rare
     void apply(Oracle& it) const override { it.draining = true; }
-    void run(const Oracle&, World& it) const override
+    void run(const Oracle&, Simulation& it) const override
     {
-        follow(it, drain(it.admission, it.now));
+        applyChanges(it, drain(it.admission, it.now));
         check(it);
     }
     void show(std::ostream& out) const override { out << "drain"; }
@@ -192,15 +192,15 @@
 
 } // namespace
 
-TEST_CASE("every request gets one final outcome and none is held back once it is hopeless", "[policy][fuzz]")
+TEST_CASE("every request gets one final outcome and none waits once it is infeasible", "[policy][fuzz]")
 {
-    // Bursts, long jobs, slots that come and go, callers that give up and a shutdown, in any order. A request that is
-    // forgotten in the queue leaves its caller without an answer; one that runs beside full slots slows all others.
+    // Bursts, long jobs, changing slots, cancelling callers and a shutdown, in any order. Guards against: a request
+    // forgotten in the queue, whose caller gets no answer, and one that runs beyond the limit, which slows all others.
     const bool held = rc::check("admission", [] {
         for (int n = 0; n < 10; ++n) {
-            World world;
-            follow(world, setSlots(world.admission, 4, world.now));
-            rc::state::check(Oracle {}, world, rc::state::gen::execOneOfWithArgs<Offer, Offer, Offer, Offer, Offer, Offer, Pass, Pass, Finish, Finish, Finish, GiveUp, Slots, Drain>());
+            Simulation simulation;
+            applyChanges(simulation, setSlots(simulation.admission, 4, simulation.now));
+            rc::state::check(Oracle {}, simulation, rc::state::gen::execOneOfWithArgs<Offer, Offer, Offer, Offer, Offer, Offer, Pass, Pass, Finish, Finish, Finish, GiveUp, Slots, Drain>());
         }
     });
     CHECK(held);
--- a/tests/routing_fuzz_test.cpp
+++ b/tests/routing_fuzz_test.cpp
@@ -1,4 +1,4 @@
-// Routing and shared reads under random commands, against oracles that only count.
+// Routing and shared reads under random commands, checked against oracles that only count.
 #include "appletally/policy/collapse.h"
 #include "appletally/policy/routing.h"
 
@@ -18,16 +18,16 @@
 
 constexpr int hostCount = 6;
 
-struct Known { // what was last announced of a host, by the latest (incarnation, sequence)
+struct Known { // last announcement of a host, by the latest (incarnation, sequence)
     config::Endpoint endpoint;
-    bool toldDraining = false; // by an answer
+    bool reportedDraining = false; // by an answer
 };
 
 struct Oracle {
     int unused = 0;
 };
 
-struct World {
+struct Simulation {
     Router router;
     Time now {};
     std::map<std::string, Known> known;
@@ -40,7 +40,7 @@
 
 std::string versionOf(int host) { return host % 3 == 0 ? "new" : "old"; }
 
-using Command = rc::state::Command<Oracle, World>;
+using Command = rc::state::Command<Oracle, Simulation>;
 
 struct Announce : Command {
     int host = *rc::gen::inRange(0, hostCount);
@@ -48,7 +48,7 @@
     uint64_t sequence = static_cast<uint64_t>(*rc::gen::inRange(1, 6));
     config::EndpointState state = *rc::gen::element(config::EndpointState::Ready, config::EndpointState::Ready,
         config::EndpointState::Ready, config::EndpointState::Starting, config::EndpointState::Draining);
-    void run(const Oracle&, World& it) const override
+    void run(const Oracle&, Simulation& it) const override
     {
         const std::string name = std::to_string(host);
         const config::Endpoint endpoint { { name }, { "s" }, { versionOf(host) }, { host % 2 ? "a" : "b" }, {}, {}, 10, state,
@@ -59,7 +59,7 @@
         if (at != it.known.end() && order(endpoint) <= order(at->second.endpoint))
             return;
         const bool restarted = at == it.known.end() || at->second.endpoint.incarnation != endpoint.incarnation;
-        it.known[name] = { endpoint, restarted ? false : at->second.toldDraining };
+        it.known[name] = { endpoint, restarted ? false : at->second.reportedDraining };
     }
     void show(std::ostream& out) const override { out << "announce " << host << " " << incarnation << "." << sequence; }
 };
@@ -67,7 +67,7 @@
 struct Share : Command {
     int ofNew = *rc::gen::element(0, 50, 500, 1000);
     uint64_t seed = *rc::gen::arbitrary<uint64_t>();
-    void run(const Oracle&, World& it) const override
+    void run(const Oracle&, Simulation& it) const override
     {
         setShares(it.router, std::vector<config::VersionShare> { { { "new" }, { ofNew } }, { { "old" }, { 1000 - ofNew } } }, seed);
         it.shares = { { "new", ofNew }, { "old", 1000 - ofNew } };
@@ -79,8 +79,8 @@
 struct Picks : Command {
     std::string route = *rc::gen::element<std::string>("a", "b");
     uint64_t random = *rc::gen::arbitrary<uint64_t>();
-    int excluded = *rc::gen::inRange(0, 2 * hostCount); // as often none
-    void run(const Oracle&, World& it) const override
+    int excluded = *rc::gen::inRange(0, 2 * hostCount); // none in half of the cases
+    void run(const Oracle&, Simulation& it) const override
     {
         const std::vector<base::HostId> tried { { std::to_string(excluded) } };
         const auto chosen = pick(it.router, { { route }, tried, {} }, it.now, random);
@@ -93,14 +93,14 @@
         RC_ASSERT(host != tried[0].text);
         RC_ASSERT(it.known.count(host) == 1);
         RC_ASSERT(it.known.at(host).endpoint.state == config::EndpointState::Ready);
-        RC_ASSERT(!it.known.at(host).toldDraining);
+        RC_ASSERT(!it.known.at(host).reportedDraining);
         RC_ASSERT(chosen->version.text == versionOf(std::stoi(host)));
         ++it.inFlight[host];
         ++counts[chosen->version.text];
         if (it.shares.empty())
             return;
         RC_ASSERT(it.shares.at(chosen->version.text) > 0);
-        // The one on trial never gets more than its turns, whatever happens to the other.
+        // The version on trial never exceeds its share, whatever happens to the other.
         const int share = it.shares.at("new");
         if (share < 500)
             RC_ASSERT(counts["new"] * 1000 - counts["all"] * share <= 1000);
@@ -115,7 +115,7 @@
         AnswerKind::Good, AnswerKind::Good, AnswerKind::Failed, AnswerKind::Refused, AnswerKind::Silent, AnswerKind::Cancelled);
     bool draining = *rc::gen::inRange(0, 12) == 0;
     std::string route = *rc::gen::element<std::string>("a", "b");
-    void run(const Oracle&, World& it) const override
+    void run(const Oracle&, Simulation& it) const override
     {
         std::erase_if(it.inFlight, [](const auto& entry) { return entry.second == 0; });
         if (it.inFlight.empty())
@@ -126,7 +126,7 @@
         load.slots = 10;
         load.draining = draining;
         answered(it.router, { { at->first }, { route }, kind, Duration { ms }, load }, it.now);
-        it.known.at(at->first).toldDraining = draining;
+        it.known.at(at->first).reportedDraining = draining;
         RC_ASSERT(it.router.targets.at({ at->first }).inFlight == at->second);
     }
     void show(std::ostream& out) const override { out << "answer " << which << " after " << ms; }
@@ -134,26 +134,26 @@
 
 struct Pass : Command {
     int ms = *rc::gen::inRange(0, 3000);
-    void run(const Oracle&, World& it) const override { it.now = it.now + Duration { ms }; }
+    void run(const Oracle&, Simulation& it) const override { it.now = it.now + Duration { ms }; }
     void show(std::ostream& out) const override { out << "pass " << ms; }
 };
 
 } // namespace
 
-TEST_CASE("no pick goes where it must not", "[policy][fuzz]")
+TEST_CASE("picks only go to ready hosts, not excluded, of a version with a share", "[policy][fuzz]")
 {
-    // Records cross, hosts drain and restart, answers fail, shares change. A request sent to a draining host is cut or
-    // refused, one sent to a version that was taken back runs on the bad version.
+    // Records arrive out of order, hosts drain and restart, answers fail, shares change. Guards against: a request sent
+    // to a draining host, which is cut or refused, and one sent to a version without a share, which may be bad.
     int picked = 0;
     int none = 0;
     const bool held = rc::check("routing", [&] {
         for (int n = 0; n < 10; ++n) {
-            World world;
-            world.router.zone = { "a" };
-            rc::state::check(Oracle {}, world,
+            Simulation simulation;
+            simulation.router.zone = { "a" };
+            rc::state::check(Oracle {}, simulation,
                 rc::state::gen::execOneOfWithArgs<Announce, Announce, Share, Picks, Picks, Picks, Picks, Picks, Answer, Answer, Answer, Pass>());
-            picked += world.picked;
-            none += world.none;
+            picked += simulation.picked;
+            none += simulation.none;
         }
     });
     CHECK(held);
@@ -163,12 +163,12 @@
 
 TEST_CASE("each shared read is answered once, by its own run", "[policy][fuzz]")
 {
-    // Two tabs, a closed one, an answer that arrives just then. A reader that is forgotten waits for ever; one that is
-    // answered from another page's run sees the wrong berth.
+    // Concurrent reads, disconnects and answers in any order. Guards against: a read that is forgotten and waits for
+    // ever, and one that gets another page's answer.
     const bool held = rc::check("collapse", [] {
         Collapse it;
         std::map<uint64_t, int> waiting; // request: its page
-        std::map<int, uint64_t> runOf; // page: the run under way
+        std::map<int, uint64_t> runOf; // page: its current run
         uint64_t next = 0;
         const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(rc::gen::pair(rc::gen::inRange(0, 6), rc::gen::inRange(0, 20)));
         for (const auto& [what, which] : steps) {
@@ -196,13 +196,13 @@
                 const int of = at->second;
                 waiting.erase(id);
                 const bool last = std::none_of(waiting.begin(), waiting.end(), [of](const auto& entry) { return entry.second == of; });
-                const auto cancelledRun = left(it, { id });
+                const auto cancelledRun = leave(it, { id });
                 RC_ASSERT(cancelledRun.has_value() == last);
                 if (last)
                     runOf.erase(of);
             }
         }
-        RC_ASSERT(it.flights.size() == runOf.size());
+        RC_ASSERT(it.sharedRuns.size() == runOf.size());
     });
     CHECK(held);
 }
