--- a/src/appletally/consensus/core.h
+++ b/src/appletally/consensus/core.h
@@ -43,7 +43,7 @@
 
 // --- Follower (follower.cpp) ---
 
-void receive(Context&, const Message&, const Append&);
+void receive(Context&, const Message&, const AppendEntries&);
 void receive(Context&, const Message&, const SnapshotChunk&);
 
 // --- Leader (leader.cpp) ---
--- a/src/appletally/consensus/disk_log.cpp
+++ b/src/appletally/consensus/disk_log.cpp
@@ -175,8 +175,8 @@
     log.logFile = log.calls.openToAppend(path, false);
     if (log.logFile < 0)
         return diskError(log.logFile, "open " + path);
-    log.cutBytes = bytes.size() - frames.goodBytes;
-    if (log.cutBytes == 0)
+    log.truncatedBytes = bytes.size() - frames.goodBytes;
+    if (log.truncatedBytes == 0)
         return base::success();
     if (const int error = log.calls.truncate(log.logFile, frames.goodBytes); error < 0)
         return diskError(error, "truncate " + path);
@@ -244,7 +244,7 @@
     return result;
 }
 
-Result<void> writeAnew(DiskLog& log)
+Result<void> rewriteFolder(DiskLog& log)
 {
     BOOST_OUTCOME_TRYV(replaceFile(log.calls, log.folder, "snapshot", snapshotBytes(log.snapshot)));
     return rewriteLog(log, {});
--- a/src/appletally/consensus/disk_log.h
+++ b/src/appletally/consensus/disk_log.h
@@ -22,7 +22,7 @@
     HardState state; // newest written
     Snapshot snapshot;
     std::vector<Entry> entries; // as in the log file, for rewriting it
-    uint64_t cutBytes = 0; // of a torn last frame, cut at opening; 0: none
+    uint64_t truncatedBytes = 0; // of a torn last frame, cut at opening; 0: none
     bool failed = false; // a write or sync failed: everything is refused from here on
 };
 
@@ -45,7 +45,7 @@
 
 // Writes all of it anew and syncs. After a failed sync nobody knows which of the bytes that can be read are on the disk; a
 // replica that goes on with such a folder has to do this first.
-base::Result<void> writeAnew(DiskLog&);
+base::Result<void> rewriteFolder(DiskLog&);
 
 void closeFolder(DiskLog&);
 
--- a/src/appletally/consensus/election.cpp
+++ b/src/appletally/consensus/election.cpp
@@ -55,9 +55,9 @@
         r.incoming = {};
         r.incomingData.clear();
     }
-    if (r.standing != Standing::Follower)
+    if (r.raftRole != RaftRole::Follower)
         resetElection(c);
-    r.standing = Standing::Follower;
+    r.raftRole = RaftRole::Follower;
     r.leader = leader;
     r.votes.clear();
 }
@@ -105,7 +105,7 @@
 static void standForVotes(Context& c)
 {
     Replica& r = c.replica;
-    r.standing = Standing::Candidate;
+    r.raftRole = RaftRole::Candidate;
     r.leader = {};
     r.votes.clear();
     r.state.term.value++;
@@ -121,7 +121,7 @@
 void standForElection(Context& c)
 {
     Replica& r = c.replica;
-    r.standing = Standing::PreCandidate;
+    r.raftRole = RaftRole::PreCandidate;
     r.leader = {};
     r.votes.clear();
     if (isVoter(latestMembers(r), r.id))
@@ -181,9 +181,9 @@
             becomeFollower(c, m.term, {});
         return;
     }
-    const Standing asked = answer.pre ? Standing::PreCandidate : Standing::Candidate;
+    const RaftRole asked = answer.pre ? RaftRole::PreCandidate : RaftRole::Candidate;
     const Term wanted { r.state.term.value + (answer.pre ? 1 : 0) };
-    if (r.standing != asked || m.term != wanted || !isVoter(latestMembers(r), m.from))
+    if (r.raftRole != asked || m.term != wanted || !isVoter(latestMembers(r), m.from))
         return;
     r.votes.insert(m.from);
     if (r.votes.size() < majority(latestMembers(r)))
--- a/src/appletally/consensus/follower.cpp
+++ b/src/appletally/consensus/follower.cpp
@@ -16,7 +16,7 @@
     }
     if (m.term == r.state.term && isLeader(r))
         return false; // cannot be: a term has one leader
-    if (m.term > r.state.term || r.standing != Standing::Follower)
+    if (m.term > r.state.term || r.raftRole != RaftRole::Follower)
         becomeFollower(c, m.term, m.from);
     r.leader = m.from;
     r.leaderHeard = c.now;
@@ -26,7 +26,7 @@
     return true;
 }
 
-static bool withoutGaps(const Append& append)
+static bool withoutGaps(const AppendEntries& append)
 {
     uint64_t index = append.previousIndex.value;
     for (const Entry& it : append.entries)
@@ -47,7 +47,7 @@
     return index;
 }
 
-static void takeEntries(Context& c, const Append& body)
+static void takeEntries(Context& c, const AppendEntries& body)
 {
     Replica& r = c.replica;
     for (const Entry& it : body.entries) {
@@ -62,7 +62,7 @@
     }
 }
 
-void receive(Context& c, const Message& m, const Append& body)
+void receive(Context& c, const Message& m, const AppendEntries& body)
 {
     Replica& r = c.replica;
     if (!withoutGaps(body) || !followSender(c, m))
--- a/src/appletally/consensus/leader.cpp
+++ b/src/appletally/consensus/leader.cpp
@@ -38,7 +38,7 @@
 void becomeLeader(Context& c)
 {
     Replica& r = c.replica;
-    r.standing = Standing::Leader;
+    r.raftRole = RaftRole::Leader;
     r.leader = r.id;
     r.votes.clear();
     r.progress.clear();
@@ -64,7 +64,7 @@
     return heard >= majority(members);
 }
 
-static Append emptyAppend(const Replica& r, LogIndex previous)
+static AppendEntries emptyAppend(const Replica& r, LogIndex previous)
 {
     // An index that is no longer here can only lie in the committed part, where 0 fits as well.
     const std::optional<Term> term = termAt(r, previous);
@@ -90,7 +90,7 @@
 static void sendEntries(Context& c, ReplicaId to, Progress& p)
 {
     const Replica& r = c.replica;
-    Append body = emptyAppend(r, { p.next.value - 1 });
+    AppendEntries body = emptyAppend(r, { p.next.value - 1 });
     size_t bytes = 0;
     const LogIndex first = firstIndex(r);
     for (size_t n = p.next.value - first.value; n < r.entries.size() && bytes < r.config.appendBytes; ++n) {
--- a/src/appletally/consensus/membership.cpp
+++ b/src/appletally/consensus/membership.cpp
@@ -181,7 +181,7 @@
     }
     if (findMember(members, joining.replaces))
         return true;
-    const bool belowLimit = r.config.mostVoters == 0 || voters < r.config.mostVoters;
+    const bool belowLimit = r.config.maxVoters == 0 || voters < r.config.maxVoters;
     return belowLimit && (voters % 2 == 0 || allRespond);
 }
 
--- a/src/appletally/consensus/message.cpp
+++ b/src/appletally/consensus/message.cpp
@@ -85,7 +85,7 @@
 
 static Json jsonOf(const VoteAsk& it) { return { it.pre, it.lastIndex.value, it.lastTerm.value }; }
 static Json jsonOf(const VoteAnswer& it) { return { it.pre, it.granted }; }
-static Json jsonOf(const Append& it)
+static Json jsonOf(const AppendEntries& it)
 {
     return { it.previousIndex.value, it.previousTerm.value, listOf(it.entries), it.commit.value, it.released.value, it.round };
 }
@@ -104,7 +104,7 @@
     case 1:
         return VoteAnswer { flag(0), flag(1) };
     case 2:
-        return Append { index(0), numberOf<Term>(v.at(1)), entriesOf(v.at(2)), index(3), index(4), count(5) };
+        return AppendEntries { index(0), numberOf<Term>(v.at(1)), entriesOf(v.at(2)), index(3), index(4), count(5) };
     case 3:
         return AppendAnswer { flag(0), index(1), index(2), count(3) };
     case 4:
--- a/src/appletally/consensus/message.h
+++ b/src/appletally/consensus/message.h
@@ -22,7 +22,7 @@
 };
 
 // Also the heartbeat, then without entries.
-struct Append {
+struct AppendEntries {
     LogIndex previousIndex; // the entry before the first of `entries`
     Term previousTerm;
     std::vector<Entry> entries;
@@ -56,7 +56,7 @@
     ReplicaId from;
     ReplicaId to;
     Term term; // of the sender; a pre-vote carries the term that it would begin
-    std::variant<VoteAsk, VoteAnswer, Append, AppendAnswer, SnapshotChunk, SnapshotAnswer> body;
+    std::variant<VoteAsk, VoteAnswer, AppendEntries, AppendAnswer, SnapshotChunk, SnapshotAnswer> body;
 };
 
 std::string encode(const Message&);
--- a/src/appletally/consensus/released.cpp
+++ b/src/appletally/consensus/released.cpp
@@ -58,14 +58,14 @@
     return out;
 }
 
-std::optional<LogIndex> provenBoot(std::span<const BootAnswer> answers)
+std::optional<LogIndex> minBootIndex(std::span<const BootAnswer> answers)
 {
     size_t majority = 0;
     const std::vector<LogIndex> commits = majorityCommits(answers, majority);
     return commits.empty() ? std::nullopt : std::optional(commits.front());
 }
 
-std::optional<LogIndex> provenReleased(std::span<const BootAnswer> answers)
+std::optional<LogIndex> provenReleasedIndex(std::span<const BootAnswer> answers)
 {
     size_t majority = 0;
     const std::vector<LogIndex> commits = majorityCommits(answers, majority);
--- a/src/appletally/consensus/released.h
+++ b/src/appletally/consensus/released.h
@@ -30,10 +30,10 @@
 std::optional<BootAnswer> bootAnswer(const Replica&);
 
 // The lowest version at which the asking node may start; empty: not yet a majority. One answer per replica counts.
-std::optional<LogIndex> provenBoot(std::span<const BootAnswer>);
+std::optional<LogIndex> minBootIndex(std::span<const BootAnswer>);
 
 // The highest index that the same answers show to be released; empty: not yet a majority. Where all have started again it is
 // known before there is a leader, who would only say the same.
-std::optional<LogIndex> provenReleased(std::span<const BootAnswer>);
+std::optional<LogIndex> provenReleasedIndex(std::span<const BootAnswer>);
 
 } // namespace appletally::consensus
--- a/src/appletally/consensus/replica.h
+++ b/src/appletally/consensus/replica.h
@@ -76,7 +76,7 @@
     base::HostId leaderHost; // empty: unknown
 };
 // In the log of a leader that lost its leadership: it may or may not be committed. Resend to learn it.
-struct Unknown {
+struct OutcomeUnknown {
     uint64_t id = 0;
 };
 struct ReadReady {
@@ -91,7 +91,7 @@
     std::vector<Entry> committed;
     std::vector<Accepted> accepted;
     std::vector<Refused> refused;
-    std::vector<Unknown> unknown;
+    std::vector<OutcomeUnknown> unknown;
     std::vector<ReadReady> reads;
     bool becameLeader = false;
     bool lostLeadership = false;
@@ -100,7 +100,7 @@
 
 // --- State; public for dumps and tests, changed only by step() ---
 
-enum class Standing : uint8_t { Follower,
+enum class RaftRole : uint8_t { Follower,
     PreCandidate,
     Candidate,
     Leader };
@@ -166,7 +166,7 @@
     base::Time lastStep; // time passed to the most recent step()
 
     // Standing.
-    Standing standing = Standing::Follower;
+    RaftRole raftRole = RaftRole::Follower;
     ReplicaId leader; // of this term; 0: unknown
     base::Time leaderHeard; // last message of the leader
     bool leaderHeardExtended = false; // by a grace period after a pause; since the last message
@@ -208,6 +208,6 @@
 
 // True for a voter, and for a replica without a vote that has caught up at least to the commit of the change that added it.
 bool hasCaughtUp(const Replica&);
-inline bool isLeader(const Replica& it) { return it.standing == Standing::Leader; }
+inline bool isLeader(const Replica& it) { return it.raftRole == RaftRole::Leader; }
 
 } // namespace appletally::consensus
--- a/src/appletally/consensus/types.h
+++ b/src/appletally/consensus/types.h
@@ -106,7 +106,7 @@
     // A host's new replica proves that the one before it is gone for good: the new one takes its place in a single change.
     bool oneReplicaPerHost = false;
     // Limit on the number of voters; 0: none. Other replicas stay joining: they replicate the log and replace removed voters.
-    size_t mostVoters = 0;
+    size_t maxVoters = 0;
     // In heartbeats, for replicas without a vote. Must be shorter than the election timeout, or they count as not responding.
     int64_t nonVoterHeartbeatPeriod = 4;
     uint64_t keepEntries = 1000; // behind a snapshot, so that a replica a little behind needs no snapshot
--- a/src/appletally/control/boot_reads.cpp
+++ b/src/appletally/control/boot_reads.cpp
@@ -67,9 +67,9 @@
     if (!m_running || round != m_rounds)
         return;
     m_answers.push_back(answer);
-    if (const auto released = consensus::provenReleased(m_answers))
+    if (const auto released = consensus::provenReleasedIndex(m_answers))
         m_released(*released);
-    if (const auto proven = consensus::provenBoot(m_answers))
+    if (const auto proven = consensus::minBootIndex(m_answers))
         finish(round, *proven);
 }
 
--- a/src/appletally/control/duties.cpp
+++ b/src/appletally/control/duties.cpp
@@ -133,7 +133,7 @@
         base::logEvent(base::Event::DiskStopped, "still: " + opened.error().text);
         return;
     }
-    if (const auto written = consensus::writeAnew(opened.value()); !written) {
+    if (const auto written = consensus::rewriteFolder(opened.value()); !written) {
         base::logEvent(base::Event::DiskStopped, "still: " + written.error().text);
         consensus::closeFolder(opened.value());
         return;
--- a/src/appletally/control/replica_driver.cpp
+++ b/src/appletally/control/replica_driver.cpp
@@ -152,7 +152,7 @@
         answer(it.id, it.index);
     for (const consensus::Refused& it : ready.refused)
         answer(it.id, base::fail(it.code, it.leaderHost.empty() ? "no leader known" : "the leader is " + it.leaderHost.text));
-    for (const consensus::Unknown& it : ready.unknown)
+    for (const consensus::OutcomeUnknown& it : ready.unknown)
         answer(it.id, base::fail(base::Code::OutcomePending, "the leader changed; resend to learn the outcome"));
     for (const consensus::ReadReady& it : ready.reads)
         answer(it.id, it.index);
@@ -213,7 +213,7 @@
     for (const consensus::Member& it : consensus::latestMembers(m_replica).list)
         members.push_back({ { "replica", it.id.value }, { "host", it.host.text }, { "votes", it.role == consensus::Role::Voter }, { "replaces", it.replaces.value } });
     static constexpr const char* standings[] = { "follower", "pre-candidate", "candidate", "leader" };
-    return { { "replica", m_replica.id.value }, { "standing", standings[static_cast<size_t>(m_replica.standing)] }, { "term", m_replica.state.term.value },
+    return { { "replica", m_replica.id.value }, { "standing", standings[static_cast<size_t>(m_replica.raftRole)] }, { "term", m_replica.state.term.value },
         { "leader", m_replica.leader.value }, { "commit", m_replica.commit.value }, { "recorded_commit", m_replica.recordedCommit.value },
         { "released", m_released.value }, { "last_index", consensus::lastIndex(m_replica).value }, { "syncs", m_syncs },
         { "stopped", m_failure ? m_failure->text : "" }, { "members", std::move(members) } };
--- a/src/appletally/control/run.cpp
+++ b/src/appletally/control/run.cpp
@@ -57,8 +57,8 @@
         if (!opened)
             return opened.error();
         disk = std::move(opened.value());
-        if (disk->cutBytes != 0)
-            base::logEvent(base::Event::LogTailCut, std::to_string(disk->cutBytes) + " bytes of an unfinished write");
+        if (disk->truncatedBytes != 0)
+            base::logEvent(base::Event::LogTailCut, std::to_string(disk->truncatedBytes) + " bytes of an unfinished write");
     }
     ControlProcess process(io, settings, std::move(disk));
     const auto address = process.listen();
--- a/tests/config_boot_words.h
+++ b/tests/config_boot_words.h
@@ -25,7 +25,7 @@
     void hear(config::Applied& node, const consensus::BootAnswer& word)
     {
         heard.push_back(word);
-        if (const auto floor = consensus::provenBoot(heard))
+        if (const auto floor = consensus::minBootIndex(heard))
             config::raiseFloor(node, { floor->value });
     }
 };
--- a/tests/consensus_cluster.cpp
+++ b/tests/consensus_cluster.cpp
@@ -67,7 +67,7 @@
     c.feed(n, Tick {});
 }
 
-Cluster::Cluster(size_t hostCount, uint64_t seed, base::Duration electionTimeout, bool oneReplicaPerHost, size_t mostVoters)
+Cluster::Cluster(size_t hostCount, uint64_t seed, base::Duration electionTimeout, bool oneReplicaPerHost, size_t maxVoters)
     : random(seed)
     , hosts(hostCount)
 {
@@ -77,10 +77,10 @@
     config.chunkBytes = 16;
     config.appendBytes = 24;
     config.oneReplicaPerHost = oneReplicaPerHost;
-    config.mostVoters = mostVoters;
+    config.maxVoters = maxVoters;
     std::vector<Member> members;
     for (size_t n = 0; n < hostCount; ++n)
-        members.push_back({ { n + 1 }, hostName(n), mostVoters == 0 || n < mostVoters ? Role::Voter : Role::Joining, {} });
+        members.push_back({ { n + 1 }, hostName(n), maxVoters == 0 || n < maxVoters ? Role::Voter : Role::Joining, {} });
     for (size_t n = 0; n < hostCount; ++n)
         format(*this, n, { n + 1 }, members);
     // A lease is only as good as the clocks; what must always hold has to hold with bad ones.
@@ -221,9 +221,9 @@
         for (size_t n = 0; n < all.size(); ++n)
             if (mask >> n & 1)
                 some.push_back(all[n]);
-        const auto proven = provenBoot(some);
+        const auto proven = minBootIndex(some);
         expect(!proven || *proven >= c.oracle.released, "a booting node would start below what was released");
-        released = std::max(released, provenReleased(some).value_or(LogIndex {}));
+        released = std::max(released, provenReleasedIndex(some).value_or(LogIndex {}));
     }
     c.oracle.released = std::max(c.oracle.released, released);
 }
@@ -515,7 +515,7 @@
         return false;
     const auto isMember = [&](const Host& it) { return findMember(members, it.id) != nullptr; };
     const auto voters = std::count_if(members.list.begin(), members.list.end(), [](const Member& it) { return it.role == Role::Voter; });
-    const size_t expectedVoters = c.config.mostVoters == 0 ? c.hosts.size() : std::min(c.config.mostVoters, c.hosts.size());
+    const size_t expectedVoters = c.config.maxVoters == 0 ? c.hosts.size() : std::min(c.config.maxVoters, c.hosts.size());
     return std::all_of(c.hosts.begin(), c.hosts.end(), isMember) && static_cast<size_t>(voters) == expectedVoters;
 }
 
--- a/tests/consensus_cluster.h
+++ b/tests/consensus_cluster.h
@@ -97,7 +97,7 @@
 
 struct Cluster {
     // Hosts beyond the first `mostVoters` start without a vote; 0: all vote.
-    explicit Cluster(size_t hostCount, uint64_t seed = 1, base::Duration electionTimeout = { 500 }, bool oneReplicaPerHost = false, size_t mostVoters = 0);
+    explicit Cluster(size_t hostCount, uint64_t seed = 1, base::Duration electionTimeout = { 500 }, bool oneReplicaPerHost = false, size_t maxVoters = 0);
 
     Config config;
     base::Time now { 1000 };
--- a/tests/consensus_fuzz_test.cpp
+++ b/tests/consensus_fuzz_test.cpp
@@ -99,11 +99,11 @@
 
 static uint64_t stepsTaken = 0;
 
-static void property(bool oneReplicaPerHost, size_t mostVoters)
+static void property(bool oneReplicaPerHost, size_t maxVoters)
 {
     const auto hosts = *rc::gen::element<uint32_t>(3, 4, 5);
     const auto seed = *rc::gen::arbitrary<uint64_t>();
-    Cluster cluster(hosts, seed, { 150 }, oneReplicaPerHost, mostVoters);
+    Cluster cluster(hosts, seed, { 150 }, oneReplicaPerHost, maxVoters);
     try {
         cluster.run({ Do::Run, 40, 0 }); // a leader to begin with
         rc::state::check(Known { hosts, {}, {} }, cluster, anyStep);
@@ -114,11 +114,11 @@
     stepsTaken += cluster.steps;
 }
 
-static void check(const rc::detail::TestParams& params, bool oneReplicaPerHost, size_t mostVoters = 0)
+static void check(const rc::detail::TestParams& params, bool oneReplicaPerHost, size_t maxVoters = 0)
 {
     rc::detail::TestMetadata about;
     about.id = "consensus";
-    const auto result = rc::detail::checkTestable([=] { property(oneReplicaPerHost, mostVoters); }, about, params);
+    const auto result = rc::detail::checkTestable([=] { property(oneReplicaPerHost, maxVoters); }, about, params);
     std::ostringstream out;
     rc::detail::printResultMessage(result, out);
     INFO(out.str());
--- a/tests/consensus_pause_test.cpp
+++ b/tests/consensus_pause_test.cpp
@@ -52,7 +52,7 @@
         run(c, 90);
         act(c, Do::Thaw, follower);
         c.feed(follower, Tick {});
-        CHECK(replica(c, follower).standing == Standing::Follower);
+        CHECK(replica(c, follower).raftRole == RaftRole::Follower);
         CHECK(replica(c, follower).leader == replica(c, leader).id);
         act(c, Do::Crash, leader); // a crashed leader is still replaced
         run(c, 2 * second);
@@ -77,8 +77,8 @@
         }
         return now;
     };
-    step(r, Received { { { 2 }, { 1 }, { 5 }, Append { {}, {}, {}, {}, {}, 1 } } }, { 1000 }, 1);
-    const base::Time stands = tickUntil({ 1000 }, [&](const Ready&) { return r.standing == Standing::PreCandidate; });
+    step(r, Received { { { 2 }, { 1 }, { 5 }, AppendEntries { {}, {}, {}, {}, {}, 1 } } }, { 1000 }, 1);
+    const base::Time stands = tickUntil({ 1000 }, [&](const Ready&) { return r.raftRole == RaftRole::PreCandidate; });
     CHECK(stands.ms <= 1900);
 
     Ready ready = step(r, Received { { { 2 }, { 1 }, { 6 }, VoteAnswer { true, true } } }, stands, 1);
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -349,10 +349,10 @@
     SECTION("a candidate is not elected by the others alone")
     {
         Cluster c(5, 1);
-        const auto standing = [&](size_t n) { return replica(c, n).standing != Standing::Follower; };
-        REQUIRE(runUntil(c, [&] { return standing(0) || standing(1) || standing(2) || standing(3) || standing(4); }));
+        const auto isCandidate = [&](size_t n) { return replica(c, n).raftRole != RaftRole::Follower; };
+        REQUIRE(runUntil(c, [&] { return isCandidate(0) || isCandidate(1) || isCandidate(2) || isCandidate(3) || isCandidate(4); }));
         size_t candidate = 0;
-        while (!standing(candidate))
+        while (!isCandidate(candidate))
             ++candidate;
         act(c, Do::Slow, candidate);
         REQUIRE(runUntil(c, [&] { return c.leader() != c.hosts.size(); }));
@@ -378,19 +378,19 @@
     CHECK(std::get<VoteAnswer>(ready.messages[0].body).granted);
 
     const Entry entry { { 1 }, { 5 }, EntryKind::Data, "x", {} };
-    ready = step(r, Received { { { 2 }, { 1 }, { 5 }, Append { {}, {}, { entry }, {}, {}, 0 } } }, now, 1);
+    ready = step(r, Received { { { 2 }, { 1 }, { 5 }, AppendEntries { {}, {}, { entry }, {}, {}, 0 } } }, now, 1);
     REQUIRE(ready.persist);
     CHECK(ready.messages.empty());
     const uint64_t sequence = ready.persist->sequence;
     // Told twice, the second answer waits for the same write.
-    ready = step(r, Received { { { 2 }, { 1 }, { 5 }, Append { {}, {}, { entry }, {}, {}, 0 } } }, now, 1);
+    ready = step(r, Received { { { 2 }, { 1 }, { 5 }, AppendEntries { {}, {}, { entry }, {}, {}, 0 } } }, now, 1);
     CHECK(ready.messages.empty());
     ready = step(r, Persisted { sequence }, now, 1);
     REQUIRE(ready.messages.size() == 2);
     CHECK(std::get<AppendAnswer>(ready.messages[0].body).index == LogIndex { 1 });
 
     // The commit that it learns is promised too: nodes start no lower because a majority has recorded it.
-    ready = step(r, Received { { { 2 }, { 1 }, { 5 }, Append { { 1 }, { 5 }, {}, { 1 }, {}, 0 } } }, now, 1);
+    ready = step(r, Received { { { 2 }, { 1 }, { 5 }, AppendEntries { { 1 }, { 5 }, {}, { 1 }, {}, 0 } } }, now, 1);
     REQUIRE(ready.persist);
     CHECK(ready.persist->state.commit == LogIndex { 1 });
     CHECK(ready.messages.empty());
@@ -402,7 +402,7 @@
     // Its own candidacy: forgotten by a crash, it could lead the same term twice.
     ready = step(r, Tick {}, { 5000 }, 1);
     ready = step(r, Received { { { 2 }, { 1 }, { 6 }, VoteAnswer { true, true } } }, { 5000 }, 1);
-    REQUIRE(r.standing == Standing::Candidate);
+    REQUIRE(r.raftRole == RaftRole::Candidate);
     CHECK(ready.messages.empty());
 }
 
@@ -423,7 +423,7 @@
     SECTION("entries")
     {
         const Entry entry { { 2 }, { 2 }, EntryKind::Data, "new", {} };
-        const Ready ready = step(r, Received { { { 2 }, { 1 }, { 2 }, Append { { 1 }, { 1 }, { entry }, { 2 }, {}, 0 } } }, now, 1);
+        const Ready ready = step(r, Received { { { 2 }, { 1 }, { 2 }, AppendEntries { { 1 }, { 1 }, { entry }, { 2 }, {}, 0 } } }, now, 1);
         CHECK(ready.persist->cutFrom == LogIndex { 2 });
         CHECK(lastIndex(r) == LogIndex { 2 });
         CHECK(r.durableIndex == LogIndex { 1 });
@@ -461,7 +461,7 @@
         for (const Message& it : ready.messages)
             CHECK_FALSE(std::get<VoteAnswer>(it.body).granted);
     }
-    const Ready ready = step(r, Received { { { 1 }, { 3 }, { 8 }, Append {} } }, { 5000 }, 1);
+    const Ready ready = step(r, Received { { { 1 }, { 3 }, { 8 }, AppendEntries {} } }, { 5000 }, 1);
     CHECK(ready.messages.empty());
     CHECK_FALSE(ready.persist);
 }
@@ -548,17 +548,17 @@
     const Row rows[] = { { {}, {}, {} }, { { one }, {}, {} }, { { one, one }, {}, {} }, { { one, two }, LogIndex { 5 }, LogIndex { 4 } },
         { { one, two, three }, {}, {} }, { { one, three, four }, LogIndex { 12 }, LogIndex { 9 } } };
     for (const Row& it : rows) {
-        CHECK(provenBoot(it.answers) == it.proven);
-        CHECK(provenReleased(it.answers) == it.released);
+        CHECK(minBootIndex(it.answers) == it.proven);
+        CHECK(provenReleasedIndex(it.answers) == it.released);
     }
 }
 
 TEST_CASE("foreign bytes are no message", "[consensus]")
 {
-    const Message m { { 1 }, { 2 }, { 3 }, Append { { 4 }, { 3 }, { { { 5 }, { 3 }, EntryKind::Data, std::string("\0\xff", 2), {} } }, { 4 }, { 3 }, 9 } };
+    const Message m { { 1 }, { 2 }, { 3 }, AppendEntries { { 4 }, { 3 }, { { { 5 }, { 3 }, EntryKind::Data, std::string("\0\xff", 2), {} } }, { 4 }, { 3 }, 9 } };
     const std::string whole = encode(m);
     REQUIRE(decode(whole));
-    CHECK(std::get<Append>(decode(whole).value().body).entries[0].data == std::string("\0\xff", 2));
+    CHECK(std::get<AppendEntries>(decode(whole).value().body).entries[0].data == std::string("\0\xff", 2));
     for (size_t n = 0; n < whole.size(); ++n) {
         CHECK_FALSE(decode(whole.substr(0, n)));
         for (const uint8_t byte : { 0x00, 0x7f, 0xff }) {
--- a/tests/control_distribution_test.cpp
+++ b/tests/control_distribution_test.cpp
@@ -388,7 +388,7 @@
     // had been at version 65 served by 64 until the next delta came.
     auto io = kj::setupAsyncIo();
     control_test::TestControl empty(io, control_test::Begins::Empty);
-    consensus::Append ahead;
+    consensus::AppendEntries ahead;
     ahead.previousIndex = { 5 };
     ahead.previousTerm = { 1 };
     ahead.commit = { 5 };
--- a/tests/disk_log_test.cpp
+++ b/tests/disk_log_test.cpp
@@ -177,7 +177,7 @@
         disk.log() += torn;
         DiskLog log = opened(disk);
         CHECK(log.entries == before.entries);
-        CHECK(log.cutBytes == torn.size());
+        CHECK(log.truncatedBytes == torn.size());
         REQUIRE(write(log, entryWrite(4, 1, "again")));
         CHECK(opened(disk).entries.back().data == "again");
     };
@@ -279,7 +279,7 @@
         DiskLog again = opened(disk);
         REQUIRE(again.entries.size() == 4);
         if (anew)
-            REQUIRE(writeAnew(again));
+            REQUIRE(rewriteFolder(again));
         disk.crash();
         CHECK(opened(disk).entries.size() == (anew ? 4 : 3));
     }
--- a/tests/formation_test.cpp
+++ b/tests/formation_test.cpp
@@ -91,7 +91,7 @@
         CHECK(nextQuestion(replica, now, luck) - before >= base::Duration { 125 });
         CHECK(now - before <= base::Duration { 350 });
         // A leader is heard, once. From then on an election has its whole timeout.
-        consensus::Append heard;
+        consensus::AppendEntries heard;
         heard.round = 1;
         consensus::step(replica, consensus::Received { { { 2 }, { 1 }, { 7 }, heard } }, now, luck);
         const base::Time lost = now;
