--- a/src/appletally/consensus/disk_log.cpp
+++ b/src/appletally/consensus/disk_log.cpp
@@ -1,7 +1,7 @@
-// The data folder: what is written in which order, and what is made of it at opening.
+// The data folder: order of writes, and recovery at opening.
 //
-// Files: "replica" (id and host; its presence means formatted), "snapshot" (meta, then bytes), "log" (one frame for each
-// write), "lock". Whatever replaces a file is written aside, synced, renamed, and the folder synced.
+// Files: "replica" (id and host; its presence means formatted), "snapshot" (meta, then bytes), "log" (one frame per
+// write), "lock". A replacement file is written under a temporary name, synced and renamed, then the folder is synced.
 #include "appletally/consensus/disk_log.h"
 
 #include "appletally/consensus/frame.h"
@@ -22,7 +22,7 @@
     return fail(code, what + ": " + std::strerror(-error));
 }
 
-static Result<void> writeAll(const FileCalls& calls, int fd, std::string_view bytes, const std::string& path)
+static Result<void> writeAndSync(const FileCalls& calls, int fd, std::string_view bytes, const std::string& path)
 {
     while (!bytes.empty()) {
         const int64_t n = calls.write(fd, bytes.data(), bytes.size());
@@ -35,20 +35,20 @@
     return base::success();
 }
 
-// A crash at any instant leaves the old file or the new one, whole.
+// Atomic: a crash at any point leaves either the old file or the complete new one.
 static Result<void> replaceFile(const FileCalls& calls, const std::string& folder, const std::string& name, std::string_view bytes)
 {
     const std::string path = folder + "/" + name;
-    const std::string aside = path + ".new";
-    const int fd = calls.openToAppend(aside, true);
+    const std::string temporaryPath = path + ".new";
+    const int fd = calls.openToAppend(temporaryPath, true);
     if (fd < 0)
-        return diskError(fd, "open " + aside);
-    Result<void> written = writeAll(calls, fd, bytes, aside);
+        return diskError(fd, "open " + temporaryPath);
+    Result<void> written = writeAndSync(calls, fd, bytes, temporaryPath);
     calls.close(fd);
     if (!written)
         return written;
-    if (const int error = calls.rename(aside, path); error < 0)
-        return diskError(error, "rename " + aside);
+    if (const int error = calls.rename(temporaryPath, path); error < 0)
+        return diskError(error, "rename " + temporaryPath);
     if (const int error = calls.syncFolder(folder); error < 0)
         return diskError(error, "sync " + folder);
     return base::success();
@@ -68,12 +68,12 @@
     return bytes;
 }
 
-// Files that are replaced whole have no torn ending.
-static Result<Frames> wholeFrames(const std::string& bytes, size_t count, const std::string& path)
+// Files that are replaced atomically cannot have a torn last frame.
+static Result<Frames> readCompleteFrames(const std::string& bytes, size_t count, const std::string& path)
 {
     Frames frames = readFrames(bytes);
-    if (frames.ending != Ending::Whole || frames.payloads.size() != count)
-        return fail(Code::LogDamaged, path + " fails its checksum");
+    if (frames.status != FrameStatus::Complete || frames.payloads.size() != count)
+        return fail(Code::LogDamaged, path + " is incomplete or fails its checksum");
     return frames;
 }
 
@@ -82,17 +82,17 @@
     if (const int error = calls.makeFolder(folder); error < 0)
         return diskError(error, "make " + folder);
     std::string old;
-    const int there = calls.readAll(folder + "/replica", old);
-    if (there == 0)
-        return fail(Code::FolderAlreadyFormatted, folder + " belongs to a replica already");
-    if (there != -ENOENT)
-        return diskError(there, "read " + folder + "/replica");
+    const int readError = calls.readAll(folder + "/replica", old);
+    if (readError == 0)
+        return fail(Code::FolderAlreadyFormatted, folder + " already belongs to a replica");
+    if (readError != -ENOENT)
+        return diskError(readError, "read " + folder + "/replica");
 
     Snapshot first;
     first.meta.members.list = options.members;
     BOOST_OUTCOME_TRYV(replaceFile(calls, folder, "log", {}));
     BOOST_OUTCOME_TRYV(replaceFile(calls, folder, "snapshot", snapshotBytes(first)));
-    // Last, because its presence says that the others are there.
+    // Last, because its presence marks the other files as complete.
     return replaceFile(calls, folder, "replica", frame(encodeMember({ options.id, options.host, Role::Learner, {} })));
 }
 
@@ -105,7 +105,7 @@
         return fail(Code::FolderNotFormatted, log.folder + " was never formatted");
     if (error < 0)
         return diskError(error, "read " + path);
-    BOOST_OUTCOME_TRY(frames, wholeFrames(bytes, 1, path));
+    BOOST_OUTCOME_TRY(frames, readCompleteFrames(bytes, 1, path));
     const auto self = decodeMember(frames.payloads[0]);
     if (!self)
         return fail(Code::LogDamaged, path + ": " + self.error().text);
@@ -118,7 +118,7 @@
 {
     const std::string path = log.folder + "/snapshot";
     BOOST_OUTCOME_TRY(bytes, readFile(log.calls, path));
-    BOOST_OUTCOME_TRY(frames, wholeFrames(bytes, 2, path));
+    BOOST_OUTCOME_TRY(frames, readCompleteFrames(bytes, 2, path));
     const auto meta = decodeMeta(frames.payloads[0]);
     if (!meta)
         return fail(Code::LogDamaged, path + ": " + meta.error().text);
@@ -128,11 +128,11 @@
     return base::success();
 }
 
-// False: the write does not follow from what is here.
-static bool take(DiskLog& log, const Persist& p)
+// Returns false if the write does not continue the log.
+static bool applyWrite(DiskLog& log, const Persist& p)
 {
-    if (p.cutFrom.value)
-        std::erase_if(log.entries, [&](const Entry& it) { return it.index >= p.cutFrom; });
+    if (p.truncateFrom.value)
+        std::erase_if(log.entries, [&](const Entry& it) { return it.index >= p.truncateFrom; });
     for (const Entry& it : p.entries) {
         if (!log.entries.empty() && it.index.value != log.entries.back().index.value + 1)
             return false;
@@ -142,9 +142,9 @@
     return true;
 }
 
-// A crash between the snapshot and the log that is rewritten for it leaves the older log. What does not continue the
-// snapshot was replaced by it.
-static void fitToSnapshot(DiskLog& log)
+// A crash between replacing the snapshot and rewriting the log leaves the older log. Entries that do not continue the
+// snapshot were replaced by it.
+static void discardDivergedEntries(DiskLog& log)
 {
     const SnapshotMeta& meta = log.snapshot.meta;
     if (log.entries.empty() || log.entries.front().index.value == meta.index.value + 1)
@@ -160,14 +160,14 @@
     const std::string path = log.folder + "/log";
     BOOST_OUTCOME_TRY(bytes, readFile(log.calls, path));
     const Frames frames = readFrames(bytes);
-    if (frames.ending == Ending::Damaged)
-        return fail(Code::LogDamaged, path + " is damaged at byte " + std::to_string(frames.goodBytes));
+    if (frames.status == FrameStatus::Damaged)
+        return fail(Code::LogDamaged, path + " is damaged at byte " + std::to_string(frames.validBytes));
     for (const std::string_view payload : frames.payloads) {
         const auto write = decodeWrite(payload);
-        if (!write || !take(log, write.value()))
-            return fail(Code::LogDamaged, path + " holds a write that does not fit");
+        if (!write || !applyWrite(log, write.value()))
+            return fail(Code::LogDamaged, path + " holds a write that does not continue the log");
     }
-    fitToSnapshot(log);
+    discardDivergedEntries(log);
     const LogIndex last = log.entries.empty() ? log.snapshot.meta.index : log.entries.back().index;
     if (log.state.commit > last)
         return fail(Code::LogDamaged, path + " lacks entries that it records as committed");
@@ -175,17 +175,17 @@
     log.logFile = log.calls.openToAppend(path, false);
     if (log.logFile < 0)
         return diskError(log.logFile, "open " + path);
-    log.truncatedBytes = bytes.size() - frames.goodBytes;
+    log.truncatedBytes = bytes.size() - frames.validBytes;
     if (log.truncatedBytes == 0)
         return base::success();
-    if (const int error = log.calls.truncate(log.logFile, frames.goodBytes); error < 0)
+    if (const int error = log.calls.truncate(log.logFile, frames.validBytes); error < 0)
         return diskError(error, "truncate " + path);
     if (const int error = log.calls.sync(log.logFile); error < 0)
         return diskError(error, "sync " + path);
     return base::success();
 }
 
-static Result<void> readEverything(DiskLog& log)
+static Result<void> lockAndRead(DiskLog& log)
 {
     BOOST_OUTCOME_TRYV(readIdentity(log));
     log.lockFile = log.calls.lock(log.folder + "/lock");
@@ -200,7 +200,7 @@
     DiskLog log;
     log.calls = calls;
     log.folder = folder;
-    if (Result<void> read = readEverything(log); !read) {
+    if (Result<void> read = lockAndRead(log); !read) {
         closeFolder(log);
         return read.error();
     }
@@ -209,10 +209,10 @@
 
 Durable durable(const DiskLog& log) { return { log.id, log.host, log.state, log.snapshot, log.entries }; }
 
-// The log anew, without what the snapshot stands for.
-static Result<void> rewriteLog(DiskLog& log, LogIndex keepFrom)
+// Rewrites the log file without the entries that the snapshot covers.
+static Result<void> rewriteLog(DiskLog& log, LogIndex retainFrom)
 {
-    std::erase_if(log.entries, [&](const Entry& it) { return it.index < keepFrom; });
+    std::erase_if(log.entries, [&](const Entry& it) { return it.index < retainFrom; });
     Persist all;
     all.entries = log.entries;
     all.state = log.state;
@@ -224,22 +224,22 @@
     return base::success();
 }
 
-static Result<void> writeChecked(DiskLog& log, const Persist& p)
+static Result<void> writeToFiles(DiskLog& log, const Persist& p)
 {
-    if (!take(log, p))
-        return fail(Code::Internal, "a write that leaves a gap in the log");
+    if (!applyWrite(log, p))
+        return fail(Code::Internal, "write would leave a gap in the log");
     if (!p.snapshot)
-        return writeAll(log.calls, log.logFile, frame(encodeWrite(p)), log.folder + "/log");
+        return writeAndSync(log.calls, log.logFile, frame(encodeWrite(p)), log.folder + "/log");
     log.snapshot = *p.snapshot;
     BOOST_OUTCOME_TRYV(replaceFile(log.calls, log.folder, "snapshot", snapshotBytes(log.snapshot)));
-    return rewriteLog(log, p.keepFrom);
+    return rewriteLog(log, p.retainFrom);
 }
 
 Result<void> write(DiskLog& log, const Persist& p)
 {
     if (log.failed)
         return fail(Code::DiskFailed, "an earlier write to " + log.folder + " failed");
-    Result<void> result = writeChecked(log, p);
+    Result<void> result = writeToFiles(log, p);
     log.failed = !result;
     return result;
 }
--- a/src/appletally/consensus/disk_log.h
+++ b/src/appletally/consensus/disk_log.h
@@ -1,9 +1,9 @@
-// A replica's data folder: one log file of checksummed frames, one snapshot file, and the replica's id.
+// A replica's data folder: a log file of checksummed frames, a snapshot file, and the replica's id.
 //
-// Nothing is believed to be on the disk before file and folder are synced. A torn last frame is what a crash in the
-// middle of a write leaves and is cut; it was never synced, so nothing depended on it. Damage is another thing:
-// something promised is gone, and a replica that went on would break its promise. It is reported as LogDamaged, and the
-// replica comes back with a freshly formatted folder, under a new id.
+// Data counts as durable only once file and folder are synced. A torn last frame is left by a crash in the middle of a
+// write and is truncated; it was never synced, so nothing depended on it. Damage elsewhere means that durable data is
+// lost, and a replica that continued could contradict its earlier votes and responses. It is reported as LogDamaged, and
+// the replica returns with a newly formatted folder and a new id.
 #pragma once
 
 #include "appletally/base/result.h"
@@ -15,36 +15,36 @@
 struct DiskLog {
     FileCalls calls;
     std::string folder;
-    int lockFile = -1; // holds the folder against a second process
+    int lockFile = -1; // locks the folder against a second process
     int logFile = -1;
     ReplicaId id;
     base::HostId host;
-    HardState state; // newest written
+    HardState state; // last written
     Snapshot snapshot;
     std::vector<Entry> entries; // as in the log file, for rewriting it
-    uint64_t truncatedBytes = 0; // of a torn last frame, cut at opening; 0: none
-    bool failed = false; // a write or sync failed: everything is refused from here on
+    uint64_t truncatedBytes = 0; // size of a torn last frame truncated at opening; 0: none
+    bool failed = false; // a write or sync failed: all further writes are refused
 };
 
 struct FormatOptions {
     ReplicaId id; // random, not 0
     base::HostId host;
-    std::vector<Member> members; // empty: waits to be let in by others. Itself alone as Voter: begins a new log
+    std::vector<Member> members; // empty: waits until the others add it. Only itself as Voter: starts a new log
 };
 
-// Makes the folder if need be. FolderAlreadyFormatted, DiskFull, DiskFailed.
+// Creates the folder if needed. FolderAlreadyFormatted, DiskFull, DiskFailed.
 base::Result<void> formatFolder(const FileCalls&, const std::string& folder, const FormatOptions&);
 
-// Reads everything and checks it. FolderNotFormatted, LogDamaged; DiskFailed, also if another process has the folder.
+// Reads and verifies all files. FolderNotFormatted, LogDamaged; DiskFailed, also if another process holds the lock.
 base::Result<DiskLog> openFolder(const FileCalls&, const std::string& folder);
 Durable durable(const DiskLog&);
 
-// Writes and syncs. After DiskFull or DiskFailed the log refuses every further write: what the kernel dropped after a
-// failed sync is unknown, so a later sync that succeeds would prove nothing.
+// Writes and syncs. After DiskFull or DiskFailed the log refuses all further writes: it is unknown which data the
+// kernel dropped after a failed sync, so a later successful sync would prove nothing.
 base::Result<void> write(DiskLog&, const Persist&);
 
-// Writes all of it anew and syncs. After a failed sync nobody knows which of the bytes that can be read are on the disk; a
-// replica that goes on with such a folder has to do this first.
+// Rewrites all files and syncs. After a failed sync it is unknown which of the readable bytes are on the disk; a
+// replica must call this before it continues with such a folder.
 base::Result<void> rewriteFolder(DiskLog&);
 
 void closeFolder(DiskLog&);
--- a/src/appletally/consensus/election.cpp
+++ b/src/appletally/consensus/election.cpp
@@ -1,7 +1,8 @@
-// Who leads: pre-vote, vote, and when a replica stands.
+// Leader election: pre-vote, vote and election timeouts.
 //
-// Pre-vote answers a replica that was cut off and comes back: it would raise its term with every vain election and
-// depose a healthy leader on its return. It asks first, and nobody who hears a leader says yes.
+// Pre-vote is for a replica that returns after it was cut off: it would increment its term with every failed election
+// and depose a healthy leader on its return. It requests pre-votes first, and a replica that hears a leader does not
+// grant one.
 #include "appletally/consensus/core.h"
 
 namespace appletally::consensus::core {
@@ -20,16 +21,16 @@
     return voters / 2 + 1;
 }
 
-void resetElection(Context& c)
+void resetElectionTimeout(Context& c)
 {
-    const int64_t least = c.replica.config.electionTimeout.ms;
-    c.replica.electionAt = c.now + base::Duration { least + static_cast<int64_t>(c.random % static_cast<uint64_t>(least)) };
+    const int64_t minTimeout = c.replica.config.electionTimeout.ms;
+    c.replica.electionDeadline = c.now + base::Duration { minTimeout + static_cast<int64_t>(c.random % static_cast<uint64_t>(minTimeout)) };
 }
 
-void startElectionClock(Context& c)
+void startFirstElectionTimeout(Context& c)
 {
-    const int64_t least = c.replica.config.firstElection.ms;
-    c.replica.electionAt = c.now + base::Duration { least + static_cast<int64_t>(c.random % static_cast<uint64_t>(least)) };
+    const int64_t minTimeout = c.replica.config.firstElectionTimeout.ms;
+    c.replica.electionDeadline = c.now + base::Duration { minTimeout + static_cast<int64_t>(c.random % static_cast<uint64_t>(minTimeout)) };
 }
 
 void becomeFollower(Context& c, Term term, ReplicaId leader)
@@ -52,57 +53,57 @@
         r.state.term = term;
         r.state.vote = {};
         r.persist.stateChanged = true;
-        r.incoming = {};
-        r.incomingData.clear();
+        r.incomingSnapshot = {};
+        r.incomingSnapshotData.clear();
     }
     if (r.raftRole != RaftRole::Follower)
-        resetElection(c);
+        resetElectionTimeout(c);
     r.raftRole = RaftRole::Follower;
     r.leader = leader;
     r.votes.clear();
 }
 
-static bool logAtLeastAsNew(const Replica& r, const VoteAsk& ask)
+static bool isLogUpToDate(const Replica& r, const VoteRequest& request)
 {
     const LogIndex last = lastIndex(r);
     const Term lastTerm = *termAt(r, last);
-    return ask.lastTerm > lastTerm || (ask.lastTerm == lastTerm && ask.lastIndex >= last);
+    return request.lastTerm > lastTerm || (request.lastTerm == lastTerm && request.lastIndex >= last);
 }
 
-// A leader was heard within its lease. Voting now would depose a leader that a majority still follows, which is what
-// a replica with a cut in one direction would otherwise bring about again and again.
+// A leader was heard within its lease. Granting a vote now would depose a leader that a majority still follows, which a
+// replica cut off in one direction would otherwise cause repeatedly.
 static bool leaderInLease(const Context& c)
 {
     const Replica& r = c.replica;
-    return isLeader(r) || (r.leaderEverHeard && c.now - r.leaderHeard < r.config.electionTimeout);
+    return isLeader(r) || (r.hasHeardLeader && c.now - r.lastLeaderContact < r.config.electionTimeout);
 }
 
-// Only a replica that has caught up can have been let in, so one that knows of no members has not been: it is freshly
-// formatted. A learner does vote when asked: the candidate has a change in its log that lets it in and counts its vote
-// by that; were it to refuse until it has that change itself, a leader that died while spreading the change would leave
-// a set of members in which nobody can win.
+// Only a replica that has caught up can have been promoted, so one that knows no members has not been: it is newly
+// formatted. A learner does grant votes: the candidate has a change in its log that makes the learner a voter and
+// counts its vote on that basis. If learners refused until they had the change themselves, a leader that failed while
+// replicating the change could leave a member set in which no candidate can win.
 static bool mayVote(const Replica& r) { return !latestMembers(r).list.empty(); }
 
-// Also a voter whose own log takes it out, until that is committed: it may hold the only copy of that entry, and then
-// nobody with a shorter log can win against it.
-bool mayStand(const Replica& r) { return isVoter(latestMembers(r), r.id) || isVoter(committedMembers(r), r.id); }
+// Includes a voter that its own log removes, until the removal is committed: it may hold the only copy of that entry,
+// and then no replica with a shorter log can win against it.
+bool mayCampaign(const Replica& r) { return isVoter(latestMembers(r), r.id) || isVoter(committedMembers(r), r.id); }
 
-static void askForVotes(Context& c, bool pre)
+static void requestVotes(Context& c, bool pre)
 {
     Replica& r = c.replica;
     const LogIndex last = lastIndex(r);
-    const VoteAsk ask { pre, last, *termAt(r, last) };
+    const VoteRequest request { pre, last, *termAt(r, last) };
     for (const Member& it : latestMembers(r).list) {
         if (it.role != Role::Voter || it.id == r.id)
             continue;
         if (pre)
-            c.ready.messages.push_back({ r.id, it.id, { r.state.term.value + 1 }, ask });
+            c.ready.messages.push_back({ r.id, it.id, { r.state.term.value + 1 }, request });
         else
-            sendOnceDurable(c, it.id, ask); // forgotten by a crash, the same term could be led twice
+            sendAfterPersist(c, it.id, request); // if a crash lost the vote, the same term could get two leaders
     }
 }
 
-static void standForVotes(Context& c)
+static void startElection(Context& c)
 {
     Replica& r = c.replica;
     r.raftRole = RaftRole::Candidate;
@@ -111,14 +112,14 @@
     r.state.term.value++;
     r.state.vote = r.id;
     r.persist.stateChanged = true;
-    r.incoming = {};
-    r.incomingData.clear();
-    resetElection(c);
-    askForVotes(c, false);
-    sendOnceDurable(c, r.id, VoteAnswer { false, true });
+    r.incomingSnapshot = {};
+    r.incomingSnapshotData.clear();
+    resetElectionTimeout(c);
+    requestVotes(c, false);
+    sendAfterPersist(c, r.id, VoteResponse { false, true });
 }
 
-void standForElection(Context& c)
+void startPreVote(Context& c)
 {
     Replica& r = c.replica;
     r.raftRole = RaftRole::PreCandidate;
@@ -126,70 +127,71 @@
     r.votes.clear();
     if (isVoter(latestMembers(r), r.id))
         r.votes.insert(r.id);
-    // Where all have just started, the first question goes out before the links stand. Asked again only after a whole
-    // election timeout, nobody led for 0.7 s more, and nodes that had started again served nobody meanwhile.
-    if (r.leaderEverHeard)
-        resetElection(c);
+    // When all replicas have just started, the first requests are sent before the links are up. Repeating them only
+    // after a full election timeout left the cluster without a leader for 0.7 s longer, and restarted nodes served no
+    // requests meanwhile.
+    if (r.hasHeardLeader)
+        resetElectionTimeout(c);
     else
-        startElectionClock(c);
+        startFirstElectionTimeout(c);
     if (r.votes.size() >= majority(latestMembers(r)))
-        standForVotes(c);
+        startElection(c);
     else
-        askForVotes(c, true);
+        requestVotes(c, true);
 }
 
-static void answerPreVote(Context& c, const Message& m, const VoteAsk& ask)
+static void respondToPreVote(Context& c, const Message& m, const VoteRequest& request)
 {
     Replica& r = c.replica;
-    const bool granted = mayVote(r) && m.term > r.state.term && !leaderInLease(c) && logAtLeastAsNew(r, ask);
-    c.ready.messages.push_back({ r.id, m.from, granted ? m.term : r.state.term, VoteAnswer { true, granted } });
+    const bool granted = mayVote(r) && m.term > r.state.term && !leaderInLease(c) && isLogUpToDate(r, request);
+    c.ready.messages.push_back({ r.id, m.from, granted ? m.term : r.state.term, VoteResponse { true, granted } });
 }
 
-void receive(Context& c, const Message& m, const VoteAsk& ask)
+void receive(Context& c, const Message& m, const VoteRequest& request)
 {
     Replica& r = c.replica;
-    if (ask.pre) {
-        answerPreVote(c, m, ask);
+    if (request.pre) {
+        respondToPreVote(c, m, request);
         return;
     }
     if (m.term < r.state.term || !mayVote(r)) {
-        send(c, m.from, VoteAnswer { false, false });
+        send(c, m.from, VoteResponse { false, false });
         return;
     }
     if (leaderInLease(c))
         return;
     if (m.term > r.state.term)
         becomeFollower(c, m.term, {});
-    const bool free = r.state.vote == m.from || (r.state.vote.value == 0 && r.leader.value == 0);
-    if (!free || !logAtLeastAsNew(r, ask)) {
-        send(c, m.from, VoteAnswer { false, false });
+    const bool mayGrant = r.state.vote == m.from || (r.state.vote.value == 0 && r.leader.value == 0);
+    if (!mayGrant || !isLogUpToDate(r, request)) {
+        send(c, m.from, VoteResponse { false, false });
         return;
     }
     if (r.state.vote != m.from) {
         r.state.vote = m.from;
         r.persist.stateChanged = true;
     }
-    resetElection(c);
-    sendOnceDurable(c, m.from, VoteAnswer { false, true });
+    resetElectionTimeout(c);
+    sendAfterPersist(c, m.from, VoteResponse { false, true });
 }
 
-void receive(Context& c, const Message& m, const VoteAnswer& answer)
+void receive(Context& c, const Message& m, const VoteResponse& response)
 {
     Replica& r = c.replica;
-    if (!answer.granted) {
+    if (!response.granted) {
         if (m.term > r.state.term)
             becomeFollower(c, m.term, {});
         return;
     }
-    const RaftRole asked = answer.pre ? RaftRole::PreCandidate : RaftRole::Candidate;
-    const Term wanted { r.state.term.value + (answer.pre ? 1 : 0) };
-    if (r.raftRole != asked || m.term != wanted || !isVoter(latestMembers(r), m.from))
+    const RaftRole expectedRole = response.pre ? RaftRole::PreCandidate : RaftRole::Candidate;
+    const Term expectedTerm { r.state.term.value + (response.pre ? 1 : 0) };
+    if (r.raftRole != expectedRole || m.term != expectedTerm || !isVoter(latestMembers(r), m.from))
         return;
     r.votes.insert(m.from);
     if (r.votes.size() < majority(latestMembers(r)))
         return;
-    if (answer.pre)
-        standForVotes(c);
+    if (response.pre)
+        startElection(c);
     else
         becomeLeader(c);
 }
--- a/src/appletally/consensus/file_calls.cpp
+++ b/src/appletally/consensus/file_calls.cpp
@@ -1,4 +1,4 @@
-// The kernel's file calls.
+// File system calls of the operating system.
 #include "appletally/consensus/file_calls.h"
 
 #include <cerrno>
@@ -13,11 +13,11 @@
 static constexpr mode_t folderMode = 0700;
 static constexpr mode_t fileMode = 0600;
 
-static int orError(int result) { return result < 0 ? -errno : result; }
+static int resultOrErrno(int result) { return result < 0 ? -errno : result; }
 
 static int readAll(const std::string& path, std::string& bytes)
 {
-    const int fd = orError(open(path.c_str(), O_RDONLY | O_CLOEXEC));
+    const int fd = resultOrErrno(open(path.c_str(), O_RDONLY | O_CLOEXEC));
     if (fd < 0)
         return fd;
     bytes.clear();
@@ -32,10 +32,10 @@
 
 static int lock(const std::string& path)
 {
-    const int fd = orError(open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, fileMode));
+    const int fd = resultOrErrno(open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, fileMode));
     if (fd < 0)
         return fd;
-    const int result = orError(flock(fd, LOCK_EX | LOCK_NB));
+    const int result = resultOrErrno(flock(fd, LOCK_EX | LOCK_NB));
     if (result < 0)
         close(fd);
     return result < 0 ? result : fd;
@@ -43,10 +43,10 @@
 
 static int syncFolder(const std::string& path)
 {
-    const int fd = orError(open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+    const int fd = resultOrErrno(open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
     if (fd < 0)
         return fd;
-    const int result = orError(fsync(fd));
+    const int result = resultOrErrno(fsync(fd));
     close(fd);
     return result;
 }
@@ -56,17 +56,17 @@
     return {
         .makeFolder = [](const std::string& path) { return mkdir(path.c_str(), folderMode) == 0 || errno == EEXIST ? 0 : -errno; },
         .lock = lock,
-        .openToAppend = [](const std::string& path, bool empty) { return orError(open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC | (empty ? O_TRUNC : 0), fileMode)); },
+        .openToAppend = [](const std::string& path, bool empty) { return resultOrErrno(open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC | (empty ? O_TRUNC : 0), fileMode)); },
         .readAll = readAll,
         .write = [](int fd, const char* bytes, size_t n) -> int64_t {
             const ssize_t written = ::write(fd, bytes, n);
             return written < 0 ? -errno : written;
         },
-        .truncate = [](int fd, uint64_t bytes) { return orError(ftruncate(fd, static_cast<off_t>(bytes))); },
-        .sync = [](int fd) { return orError(fsync(fd)); },
+        .truncate = [](int fd, uint64_t bytes) { return resultOrErrno(ftruncate(fd, static_cast<off_t>(bytes))); },
+        .sync = [](int fd) { return resultOrErrno(fsync(fd)); },
         .syncFolder = syncFolder,
-        .rename = [](const std::string& from, const std::string& to) { return orError(std::rename(from.c_str(), to.c_str())); },
-        .close = [](int fd) { return orError(::close(fd)); },
+        .rename = [](const std::string& from, const std::string& to) { return resultOrErrno(std::rename(from.c_str(), to.c_str())); },
+        .close = [](int fd) { return resultOrErrno(::close(fd)); },
     };
 }
 
--- a/src/appletally/consensus/follower.cpp
+++ b/src/appletally/consensus/follower.cpp
@@ -1,32 +1,32 @@
-// A follower's side: entries and snapshots of the leader, checked against what is here and made durable before the
-// answer that says so.
+// Follower: receives entries and snapshots from the leader, checks them against the local log and makes them durable
+// before responding.
 #include "appletally/consensus/core.h"
 
 #include <algorithm>
 
 namespace appletally::consensus::core {
 
-// False: a message of an older leader, answered with the newer term so that it steps down.
-static bool followSender(Context& c, const Message& m)
+// Returns false for a message of an older leader; the response carries the newer term so that it steps down.
+static bool followLeader(Context& c, const Message& m)
 {
     Replica& r = c.replica;
     if (m.term < r.state.term) {
-        send(c, m.from, AppendAnswer {});
+        send(c, m.from, AppendResponse {});
         return false;
     }
     if (m.term == r.state.term && isLeader(r))
-        return false; // cannot be: a term has one leader
+        return false; // impossible: a term has one leader
     if (m.term > r.state.term || r.raftRole != RaftRole::Follower)
         becomeFollower(c, m.term, m.from);
     r.leader = m.from;
-    r.leaderHeard = c.now;
-    r.leaderHeardExtended = false;
-    r.leaderEverHeard = true;
-    resetElection(c);
+    r.lastLeaderContact = c.now;
+    r.leaderContactExtended = false;
+    r.hasHeardLeader = true;
+    resetElectionTimeout(c);
     return true;
 }
 
-static bool withoutGaps(const AppendEntries& append)
+static bool isContiguous(const AppendEntries& append)
 {
     uint64_t index = append.previousIndex.value;
     for (const Entry& it : append.entries)
@@ -35,8 +35,8 @@
     return true;
 }
 
-// Where the leader should try next: before all entries of the term that does not fit.
-static LogIndex hint(const Replica& r, LogIndex previous)
+// Where the leader probes next: before all entries of the conflicting term.
+static LogIndex conflictHint(const Replica& r, LogIndex previous)
 {
     if (lastIndex(r) < previous)
         return lastIndex(r);
@@ -47,17 +47,17 @@
     return index;
 }
 
-static void takeEntries(Context& c, const AppendEntries& body)
+static void storeEntries(Context& c, const AppendEntries& body)
 {
     Replica& r = c.replica;
     for (const Entry& it : body.entries) {
         if (it.index <= r.commit)
             continue;
-        const std::optional<Term> here = termAt(r, it.index);
-        if (here == it.term)
+        const std::optional<Term> storedTerm = termAt(r, it.index);
+        if (storedTerm == it.term)
             continue;
-        if (here)
-            cutFrom(c, it.index);
+        if (storedTerm)
+            truncateFrom(c, it.index);
         append(c, it);
     }
 }
@@ -65,37 +65,37 @@
 void receive(Context& c, const Message& m, const AppendEntries& body)
 {
     Replica& r = c.replica;
-    if (!withoutGaps(body) || !followSender(c, m))
+    if (!isContiguous(body) || !followLeader(c, m))
         return;
     r.released = std::max(r.released, body.released);
-    // Up to the commit everything equals the leader's, whoever leads.
-    const bool fits = body.previousIndex <= r.commit || termAt(r, body.previousIndex) == body.previousTerm;
-    if (!fits) {
-        sendOnceDurable(c, m.from, AppendAnswer { false, hint(r, body.previousIndex), r.state.commit, body.round });
+    // Up to the commit the local log equals that of any leader.
+    const bool matches = body.previousIndex <= r.commit || termAt(r, body.previousIndex) == body.previousTerm;
+    if (!matches) {
+        sendAfterPersist(c, m.from, AppendResponse { false, conflictHint(r, body.previousIndex), r.state.commit, body.round });
         return;
     }
-    takeEntries(c, body);
+    storeEntries(c, body);
     const LogIndex matched { body.previousIndex.value + body.entries.size() };
     const LogIndex commit = std::min(body.commit, matched);
     if (commit > r.commit)
         setCommit(c, commit);
-    sendOnceDurable(c, m.from, AppendAnswer { true, matched, r.state.commit, body.round });
+    sendAfterPersist(c, m.from, AppendResponse { true, matched, r.state.commit, body.round });
 }
 
-static void install(Context& c, const SnapshotChunk& chunk)
+static void installSnapshot(Context& c, const SnapshotChunk& chunk)
 {
     Replica& r = c.replica;
     const bool continues = termAt(r, chunk.meta.index) == chunk.meta.term;
     if (!continues)
-        cutFrom(c, firstIndex(r));
+        truncateFrom(c, firstIndex(r));
     r.snapshot = std::make_shared<const Snapshot>(
-        Snapshot { chunk.meta, std::make_shared<const std::string>(std::move(r.incomingData)) });
-    r.incomingData = {};
-    r.incoming = {};
+        Snapshot { chunk.meta, std::make_shared<const std::string>(std::move(r.incomingSnapshotData)) });
+    r.incomingSnapshotData = {};
+    r.incomingSnapshot = {};
     r.entries.erase(r.entries.begin(),
         std::find_if(r.entries.begin(), r.entries.end(), [&](const Entry& it) { return it.index > chunk.meta.index; }));
     r.persist.snapshot = r.snapshot;
-    r.persist.keepFrom = { chunk.meta.index.value + 1 };
+    r.persist.retainFrom = { chunk.meta.index.value + 1 };
     r.applied = chunk.meta.index;
     setCommit(c, chunk.meta.index);
     rebuildMembers(r);
@@ -106,24 +106,24 @@
 void receive(Context& c, const Message& m, const SnapshotChunk& chunk)
 {
     Replica& r = c.replica;
-    if (!followSender(c, m))
+    if (!followLeader(c, m))
         return;
     if (chunk.meta.index <= r.commit) {
-        sendOnceDurable(c, m.from, AppendAnswer { true, r.commit, r.state.commit, chunk.round });
+        sendAfterPersist(c, m.from, AppendResponse { true, r.commit, r.state.commit, chunk.round });
         return;
     }
-    if (r.incoming != chunk.meta) {
-        r.incoming = chunk.meta;
-        r.incomingData.clear();
+    if (r.incomingSnapshot != chunk.meta) {
+        r.incomingSnapshot = chunk.meta;
+        r.incomingSnapshotData.clear();
     }
-    if (chunk.offset == r.incomingData.size())
-        r.incomingData += chunk.data;
-    if (r.incomingData.size() < chunk.total || chunk.offset > r.incomingData.size()) {
-        send(c, m.from, SnapshotAnswer { chunk.meta.index, r.incomingData.size(), chunk.round });
+    if (chunk.offset == r.incomingSnapshotData.size())
+        r.incomingSnapshotData += chunk.data;
+    if (r.incomingSnapshotData.size() < chunk.total || chunk.offset > r.incomingSnapshotData.size()) {
+        send(c, m.from, SnapshotResponse { chunk.meta.index, r.incomingSnapshotData.size(), chunk.round });
         return;
     }
-    install(c, chunk);
-    sendOnceDurable(c, m.from, AppendAnswer { true, chunk.meta.index, r.state.commit, chunk.round });
+    installSnapshot(c, chunk);
+    sendAfterPersist(c, m.from, AppendResponse { true, chunk.meta.index, r.state.commit, chunk.round });
 }
 
 } // namespace appletally::consensus::core
--- a/src/appletally/consensus/frame.h
+++ b/src/appletally/consensus/frame.h
@@ -1,8 +1,8 @@
-// Frames: how the files of a data folder are cut into checked pieces, and what to think of one that fails its check.
+// Frames: checksummed records in the files of a data folder, and the classification of one that fails verification.
 //
-// A frame is: length (4 bytes), checksum of the length (4), checksum of the payload (8), payload; all little-endian, the
-// checksums XXH3. The header has its own checksum because a flipped bit in a length would otherwise look like a frame
-// that a crash cut short, and something promised would be dropped in silence.
+// A frame is: length (4 bytes), checksum of the length (4), checksum of the payload (8), payload; all little-endian,
+// checksums are XXH3. The length has its own checksum because a flipped bit in it would otherwise look like a frame
+// torn by a crash, and durable data would be dropped silently.
 #pragma once
 
 #include <string>
@@ -13,16 +13,16 @@
 
 std::string frame(std::string_view payload);
 
-enum class Ending : uint8_t {
-    Whole,
-    Torn, // the last frame is cut short or was never filled: a write that a crash interrupted
-    Damaged, // bytes that were written whole are no longer what they were
+enum class FrameStatus : uint8_t {
+    Complete,
+    Torn, // the last frame is truncated or was never filled: a write interrupted by a crash
+    Damaged, // bytes that were completely written have changed
 };
 
 struct Frames {
-    std::vector<std::string_view> payloads; // up to the first that fails; they point into the bytes given
-    uint64_t goodBytes = 0;
-    Ending ending = Ending::Whole;
+    std::vector<std::string_view> payloads; // up to the first invalid frame; views into the bytes given
+    uint64_t validBytes = 0;
+    FrameStatus status = FrameStatus::Complete;
 };
 
 Frames readFrames(std::string_view bytes);
--- a/src/appletally/consensus/leader.cpp
+++ b/src/appletally/consensus/leader.cpp
@@ -1,4 +1,4 @@
-// The leader's side: spreading entries and snapshots, and what may be concluded from the answers.
+// Leader: replicates entries and snapshots, and advances commit, release and reads from the responses.
 #include "appletally/consensus/core.h"
 
 #include <algorithm>
@@ -6,14 +6,14 @@
 namespace appletally::consensus::core {
 
 // The highest value that a majority of the voters has reached.
-template <typename Of>
-static auto reachedByMajority(const Replica& r, Of of)
+template <typename ValueOf>
+static auto reachedByMajority(const Replica& r, ValueOf valueOf)
 {
     const Members& members = latestMembers(r);
-    std::vector<decltype(of(ReplicaId {}))> values;
+    std::vector<decltype(valueOf(ReplicaId {}))> values;
     for (const Member& it : members.list)
         if (it.role == Role::Voter)
-            values.push_back(of(it.id));
+            values.push_back(valueOf(it.id));
     std::sort(values.begin(), values.end(), std::greater<> {});
     return values[majority(members) - 1];
 }
@@ -29,9 +29,9 @@
         if (it.id == r.id || r.progress.contains(it.id))
             continue;
         Progress& p = r.progress[it.id];
-        p.next = { lastIndex(r).value + 1 };
-        p.heard = c.now;
-        p.sent = c.now;
+        p.nextIndex = { lastIndex(r).value + 1 };
+        p.lastContact = c.now;
+        p.lastSent = c.now;
     }
 }
 
@@ -45,110 +45,110 @@
     c.ready.becameLeader = true;
     syncProgress(c);
     r.termStart = { lastIndex(r).value + 1 };
-    append(c, { r.termStart, r.state.term, EntryKind::Nothing, {}, {} });
+    append(c, { r.termStart, r.state.term, EntryKind::NoOp, {}, {} });
     sendHeartbeats(c);
 }
 
-// A lease by the leader's own clock: without it a leader behind a silent cut would go on taking proposals that nobody
-// accepts, and its callers would wait instead of asking the others.
-bool majorityHeard(const Context& c, const Members& members)
+// Leader lease, by the leader's own clock: without it a leader behind a partition that drops packets silently would
+// keep accepting proposals that cannot be committed, and its clients would wait instead of contacting other replicas.
+bool majorityResponds(const Context& c, const Members& members)
 {
     const Replica& r = c.replica;
-    size_t heard = 0;
+    size_t responding = 0;
     for (const Member& it : members.list) {
         if (it.role != Role::Voter)
             continue;
         const auto progress = r.progress.find(it.id);
-        heard += it.id == r.id || (progress != r.progress.end() && c.now - progress->second.heard < r.config.electionTimeout);
+        responding += it.id == r.id || (progress != r.progress.end() && c.now - progress->second.lastContact < r.config.electionTimeout);
     }
-    return heard >= majority(members);
+    return responding >= majority(members);
 }
 
 static AppendEntries emptyAppend(const Replica& r, LogIndex previous)
 {
-    // An index that is no longer here can only lie in the committed part, where 0 fits as well.
+    // An index that is no longer in memory can only be committed, where 0 matches as well.
     const std::optional<Term> term = termAt(r, previous);
     return { term ? previous : LogIndex {}, term.value_or(Term {}), {}, r.commit, r.released, r.round };
 }
 
-static void sendChunk(Context& c, ReplicaId to, Progress& p)
+static void sendSnapshotChunk(Context& c, ReplicaId to, Progress& p)
 {
     const Replica& r = c.replica;
     const Snapshot& snapshot = *r.snapshot;
-    if (p.snapshot != snapshot.meta.index) {
-        p.snapshot = snapshot.meta.index;
-        p.offset = 0;
+    if (p.snapshotIndex != snapshot.meta.index) {
+        p.snapshotIndex = snapshot.meta.index;
+        p.snapshotOffset = 0;
     }
     const std::string none;
     const std::string& bytes = snapshot.data ? *snapshot.data : none;
-    p.offset = std::min<uint64_t>(p.offset, bytes.size());
-    p.waiting = true;
-    p.sent = c.now;
-    send(c, to, SnapshotChunk { snapshot.meta, p.offset, bytes.size(), bytes.substr(p.offset, r.config.chunkBytes), r.round });
+    p.snapshotOffset = std::min<uint64_t>(p.snapshotOffset, bytes.size());
+    p.awaitingResponse = true;
+    p.lastSent = c.now;
+    send(c, to, SnapshotChunk { snapshot.meta, p.snapshotOffset, bytes.size(), bytes.substr(p.snapshotOffset, r.config.maxChunkBytes), r.round });
 }
 
 static void sendEntries(Context& c, ReplicaId to, Progress& p)
 {
     const Replica& r = c.replica;
-    AppendEntries body = emptyAppend(r, { p.next.value - 1 });
+    AppendEntries body = emptyAppend(r, { p.nextIndex.value - 1 });
     size_t bytes = 0;
     const LogIndex first = firstIndex(r);
-    for (size_t n = p.next.value - first.value; n < r.entries.size() && bytes < r.config.appendBytes; ++n) {
+    for (size_t n = p.nextIndex.value - first.value; n < r.entries.size() && bytes < r.config.maxAppendBytes; ++n) {
         body.entries.push_back(r.entries[n]);
         bytes += r.entries[n].data.size();
     }
     if (!body.entries.empty()) {
-        p.waiting = true;
-        p.sent = c.now;
+        p.awaitingResponse = true;
+        p.lastSent = c.now;
     }
     p.sentCommit = r.commit;
     p.sentReleased = r.released;
     send(c, to, std::move(body));
 }
 
-static void sendWhatItLacks(Context& c, ReplicaId to, Progress& p)
+static void sendMissing(Context& c, ReplicaId to, Progress& p)
 {
-    const bool here = p.next >= firstIndex(c.replica) && termAt(c.replica, { p.next.value - 1 });
-    if (here)
+    const bool inLog = p.nextIndex >= firstIndex(c.replica) && termAt(c.replica, { p.nextIndex.value - 1 });
+    if (inLog)
         sendEntries(c, to, p);
     else
-        sendChunk(c, to, p);
+        sendSnapshotChunk(c, to, p);
 }
 
-void sendNews(Context& c)
+void sendUpdates(Context& c)
 {
     Replica& r = c.replica;
     for (auto& [id, p] : r.progress) {
-        const bool news = p.next <= lastIndex(r) || p.sentCommit < r.commit || p.sentReleased < r.released;
-        if (news && !p.waiting)
-            sendWhatItLacks(c, id, p);
+        const bool hasUpdates = p.nextIndex <= lastIndex(r) || p.sentCommit < r.commit || p.sentReleased < r.released;
+        if (hasUpdates && !p.awaitingResponse)
+            sendMissing(c, id, p);
     }
 }
 
 void sendHeartbeats(Context& c)
 {
     Replica& r = c.replica;
-    r.heartbeatAt = c.now + r.config.heartbeat;
+    r.nextHeartbeat = c.now + r.config.heartbeat;
     for (auto& [id, p] : r.progress) {
         const bool votes = isVoter(latestMembers(r), id);
-        if (!votes && c.now < p.heartbeatAt)
+        if (!votes && c.now < p.nextHeartbeat)
             continue;
-        p.heartbeatAt = c.now + r.config.heartbeat * r.config.nonVoterHeartbeatPeriod;
-        if (p.waiting && c.now - p.sent >= r.config.heartbeat * 4)
-            p.waiting = false; // lost, or its answer was: send it again
-        if (p.waiting)
-            send(c, id, emptyAppend(r, p.match));
+        p.nextHeartbeat = c.now + r.config.heartbeat * r.config.nonVoterHeartbeatPeriod;
+        if (p.awaitingResponse && c.now - p.lastSent >= r.config.heartbeat * 4)
+            p.awaitingResponse = false; // the message or its response was lost: resend
+        if (p.awaitingResponse)
+            send(c, id, emptyAppend(r, p.matchIndex));
         else
-            sendWhatItLacks(c, id, p);
+            sendMissing(c, id, p);
     }
 }
 
-// Only an entry of its own term shows a leader what is committed: one of an older term on a majority may still be
-// replaced by a leader that never saw it.
+// Only entries of the leader's own term are committed by counting replicas: an entry of an older term on a majority may
+// still be replaced by a leader that does not have it.
 static void advanceCommit(Context& c)
 {
     Replica& r = c.replica;
-    const LogIndex reached = reachedByMajority(r, [&](ReplicaId id) { return id == r.id ? r.durableIndex : progressOf(r, id).match; });
+    const LogIndex reached = reachedByMajority(r, [&](ReplicaId id) { return id == r.id ? r.durableIndex : progressOf(r, id).matchIndex; });
     if (reached > r.commit && termAt(r, reached) == r.state.term)
         setCommit(c, reached);
 }
@@ -160,7 +160,7 @@
     r.released = std::max(r.released, reached);
 }
 
-// A read is safe once a majority has answered a round that began after it: no other leader had been elected by then,
+// A read is safe once a majority has responded to a round started after the read: no other leader was elected by then,
 // so nothing can have been accepted elsewhere that this leader lacks.
 static void confirmReads(Context& c)
 {
@@ -174,28 +174,28 @@
     });
 }
 
-void afterProgress(Context& c)
+void processProgress(Context& c)
 {
     advanceCommit(c);
     advanceReleased(c);
     confirmReads(c);
-    continueChange(c);
-    continueRepair(c);
-    sendNews(c);
+    advanceChange(c);
+    advanceRepair(c);
+    sendUpdates(c);
 }
 
 void receive(Context& c, const ReadIndex& input)
 {
     Replica& r = c.replica;
     r.round++;
-    // Before its first entry is committed the leader does not know how far its predecessors had committed.
+    // Before its first entry is committed, the leader does not know how far its predecessors had committed.
     r.reads.push_back({ input.id, std::max(r.commit, r.termStart), r.round });
     sendHeartbeats(c);
     confirmReads(c);
 }
 
-// Null: not for this leader, or from nobody that it knows.
-static Progress* heardFrom(Context& c, const Message& m, uint64_t round)
+// Returns null if the response is not for this leader or the sender is not a member.
+static Progress* recordResponse(Context& c, const Message& m, uint64_t round)
 {
     Replica& r = c.replica;
     if (m.term > r.state.term)
@@ -203,44 +203,44 @@
     const auto it = r.progress.find(m.from);
     if (m.term != r.state.term || !isLeader(r) || it == r.progress.end())
         return nullptr;
-    it->second.heard = c.now;
-    it->second.heardExtended = false;
-    it->second.answered = true;
+    it->second.lastContact = c.now;
+    it->second.contactExtended = false;
+    it->second.hasResponded = true;
     it->second.round = std::max(it->second.round, round);
     return &it->second;
 }
 
-void receive(Context& c, const Message& m, const AppendAnswer& answer)
+void receive(Context& c, const Message& m, const AppendResponse& response)
 {
-    Progress* p = heardFrom(c, m, answer.round);
+    Progress* p = recordResponse(c, m, response.round);
     if (!p)
         return;
-    p->recordedCommit = std::max(p->recordedCommit, answer.recordedCommit);
-    if (answer.matched) {
-        if (answer.index > p->match) {
-            p->match = answer.index;
-            p->waiting = false;
+    p->recordedCommit = std::max(p->recordedCommit, response.recordedCommit);
+    if (response.matched) {
+        if (response.index > p->matchIndex) {
+            p->matchIndex = response.index;
+            p->awaitingResponse = false;
         }
-        p->next = std::max(p->next, LogIndex { p->match.value + 1 });
-        if (p->snapshot <= p->match)
-            p->snapshot = {};
-    } else if (answer.index >= p->match) {
-        p->next = std::max(LogIndex { p->match.value + 1 }, std::min(LogIndex { answer.index.value + 1 }, LogIndex { p->next.value - 1 }));
-        p->waiting = false;
+        p->nextIndex = std::max(p->nextIndex, LogIndex { p->matchIndex.value + 1 });
+        if (p->snapshotIndex <= p->matchIndex)
+            p->snapshotIndex = {};
+    } else if (response.index >= p->matchIndex) {
+        p->nextIndex = std::max(LogIndex { p->matchIndex.value + 1 }, std::min(LogIndex { response.index.value + 1 }, LogIndex { p->nextIndex.value - 1 }));
+        p->awaitingResponse = false;
     }
-    afterProgress(c);
+    processProgress(c);
 }
 
-void receive(Context& c, const Message& m, const SnapshotAnswer& answer)
+void receive(Context& c, const Message& m, const SnapshotResponse& response)
 {
-    Progress* p = heardFrom(c, m, answer.round);
+    Progress* p = recordResponse(c, m, response.round);
     if (!p)
         return;
-    if (p->snapshot == answer.index && answer.index.value != 0) {
-        p->offset = answer.offset;
-        p->waiting = false;
+    if (p->snapshotIndex == response.index && response.index.value != 0) {
+        p->snapshotOffset = response.offset;
+        p->awaitingResponse = false;
     }
-    afterProgress(c);
+    processProgress(c);
 }
 
 } // namespace appletally::consensus::core
--- a/src/appletally/consensus/log_window.cpp
+++ b/src/appletally/consensus/log_window.cpp
@@ -1,4 +1,4 @@
-// The part of the log that a replica holds in memory, and the members that it agrees on.
+// The part of the log that a replica holds in memory, and the members that it determines.
 #include "appletally/consensus/core.h"
 
 #include <algorithm>
@@ -23,27 +23,27 @@
 void append(Context& c, Entry entry)
 {
     Replica& r = c.replica;
-    if (entry.kind == EntryKind::Change)
+    if (entry.kind == EntryKind::MemberChange)
         r.members.push_back({ entry.index, entry.members });
     r.persist.entries.push_back(entry);
     r.entries.push_back(std::move(entry));
 }
 
-void cutFrom(Context& c, LogIndex index)
+void truncateFrom(Context& c, LogIndex index)
 {
     Replica& r = c.replica;
     while (!r.entries.empty() && r.entries.back().index >= index)
         r.entries.pop_back();
     while (!r.persist.entries.empty() && r.persist.entries.back().index >= index)
         r.persist.entries.pop_back();
-    if (r.persist.cutFrom.value == 0 || index < r.persist.cutFrom)
-        r.persist.cutFrom = index;
+    if (r.persist.truncateFrom.value == 0 || index < r.persist.truncateFrom)
+        r.persist.truncateFrom = index;
 
-    // What was durable, or will be by a write still under way, is replaced from here on.
+    // Entries from here on, durable or in a pending write, are replaced.
     const LogIndex before { index.value - 1 };
     r.durableIndex = std::min(r.durableIndex, before);
-    for (auto& [sequence, mark] : r.marks)
-        mark.first = std::min(mark.first, before);
+    for (auto& [sequence, pending] : r.pendingPersists)
+        pending.first = std::min(pending.first, before);
     rebuildMembers(r);
 }
 
@@ -51,7 +51,7 @@
 {
     Members result = r.snapshot->meta.members;
     for (const Entry& it : r.entries)
-        if (it.kind == EntryKind::Change && it.index > r.snapshot->meta.index && it.index <= index)
+        if (it.kind == EntryKind::MemberChange && it.index > r.snapshot->meta.index && it.index <= index)
             result = { it.index, it.members };
     return result;
 }
@@ -60,7 +60,7 @@
 {
     r.members = { membersAt(r, r.commit) };
     for (const Entry& it : r.entries)
-        if (it.kind == EntryKind::Change && it.index > r.commit)
+        if (it.kind == EntryKind::MemberChange && it.index > r.commit)
             r.members.push_back({ it.index, it.members });
 }
 
--- a/src/appletally/consensus/membership.cpp
+++ b/src/appletally/consensus/membership.cpp
@@ -1,58 +1,59 @@
-// Changes of members: one at a time, and the repair that the leader carries through by itself.
+// Changes of members, one at a time, and the repair that the leader performs on its own.
 //
-// A repair has three changes: the new replica joins without a vote; once it has caught up it gets one; then the lost one
-// is taken out. In this order there are never fewer replicas that hold what is accepted than before the loss. Whoever
-// leads goes on with it, since what is still to do stands in the members themselves.
+// A repair has three changes: the new replica joins as a non-voter; once caught up it becomes a voter; then the lost
+// replica is removed. In this order there are never fewer replicas that hold accepted entries than before the loss. Any
+// later leader can continue a repair, since the remaining steps follow from the members.
 //
-// Where a host's new replica proves that the one before it is gone (Config::oneReplicaPerHost), the last two are one change.
-// Majorities before and after it need not share a replica, but those that can still act do: the lost one answers nobody.
-// What it had voted for or recorded before counts no more either, since joining was released by a majority without it.
+// Where a host's new replica proves that the previous one is lost (Config::oneReplicaPerHost), the last two are one
+// change. Majorities before and after it need not share a replica, but those that can still act do: the lost replica
+// does not respond. Its earlier votes and records no longer count either, since joining was released by a majority
+// without it.
 #include "appletally/consensus/core.h"
 
 #include <algorithm>
 
 namespace appletally::consensus::core {
 
-// A change may begin only when the one before it is released and this leader has committed an entry of its own. The
-// first keeps a booting node's majority in touch with every earlier one (released.h). Without the second, two leaders
-// that each began a change from the same members could have majorities that share no replica.
+// A change may start only when the previous one is released and this leader has committed an entry of its own. The
+// first condition makes a booting node's majority overlap with every earlier one (released.h). Without the second, two
+// leaders that each started a change from the same members could have majorities that share no replica.
 static bool changeAllowed(const Replica& r)
 {
     return !r.change && r.commit >= r.termStart && r.released >= latestMembers(r).index && r.commit >= latestMembers(r).index;
 }
 
-static void refuse(Context& c, uint64_t id)
+static void refuseChange(Context& c, uint64_t id)
 {
     const Replica& r = c.replica;
     c.ready.refused.push_back({ id, base::Code::NoQuorum, r.id, r.host });
 }
 
-// A change is in force as soon as it is in the log, and one whose voters cannot be reached would stop the log for good:
-// a voter's host dies, and an operator who does not know it yet takes out a healthy one. What was heard before the
-// request shows nothing about that, so a majority of the new voters has to answer once more.
-static void begin(Context& c, std::optional<uint64_t> id, std::vector<Member> list)
+// A change is applied as soon as it is in the log, and one whose voters are unreachable would stop the log permanently,
+// for example when a voter's host fails and an operator who is unaware of it removes a healthy one. Responses from
+// before the request prove nothing about that, so a majority of the new voters has to respond once more.
+static void beginChange(Context& c, std::optional<uint64_t> id, std::vector<Member> list)
 {
     Replica& r = c.replica;
     std::sort(list.begin(), list.end(), [](const Member& a, const Member& b) { return a.id < b.id; });
     r.round++;
     r.change = PendingChange { std::move(list), id, r.round, c.now + r.config.electionTimeout };
     sendHeartbeats(c);
-    continueChange(c);
+    advanceChange(c);
 }
 
 static bool votersAnswered(const Replica& r, const PendingChange& change)
 {
-    const Members wanted { {}, change.list };
+    const Members newMembers { {}, change.list };
     size_t answered = 0;
     for (const Member& it : change.list) {
         const auto progress = r.progress.find(it.id);
         const bool confirmed = it.id == r.id || (progress != r.progress.end() && progress->second.round >= change.round);
         answered += it.role == Role::Voter && confirmed;
     }
-    return answered >= majority(wanted);
+    return answered >= majority(newMembers);
 }
 
-void continueChange(Context& c)
+void advanceChange(Context& c)
 {
     Replica& r = c.replica;
     if (!r.change)
@@ -61,13 +62,13 @@
         const LogIndex index { lastIndex(r).value + 1 };
         if (r.change->id)
             r.proposals[index.value] = { r.state.term, *r.change->id };
-        append(c, { index, r.state.term, EntryKind::Change, {}, std::move(r.change->list) });
+        append(c, { index, r.state.term, EntryKind::MemberChange, {}, std::move(r.change->list) });
         r.change.reset();
         syncProgress(c);
-        sendNews(c);
-    } else if (c.now >= r.change->giveUpAt) {
+        sendUpdates(c);
+    } else if (c.now >= r.change->deadline) {
         if (r.change->id)
-            refuse(c, *r.change->id);
+            refuseChange(c, *r.change->id);
         r.change.reset();
     }
 }
@@ -114,7 +115,7 @@
     }
     const bool haveIds = std::all_of(input.members.begin(), input.members.end(), [](const Member& it) { return it.id.value != 0; });
     if (!changeAllowed(r) || !haveIds) {
-        refuse(c, input.id);
+        refuseChange(c, input.id);
         return;
     }
     std::vector<Member> list = members.list;
@@ -122,7 +123,7 @@
         if (!findMember({ {}, list }, it.id))
             list = withAdded(std::move(list), it);
     }
-    begin(c, input.id, std::move(list));
+    beginChange(c, input.id, std::move(list));
 }
 
 void receive(Context& c, const RemoveMember& input)
@@ -135,14 +136,14 @@
     }
     std::vector<Member> list = without(members.list, input.replica);
     if (!changeAllowed(r) || !hasVoters(list)) {
-        refuse(c, input.id);
+        refuseChange(c, input.id);
         return;
     }
-    begin(c, input.id, std::move(list));
+    beginChange(c, input.id, std::move(list));
 }
 
-// A voter has taken the place of another that is still a member.
-static const Member* replacement(const Members& members)
+// A voter that has replaced another replica that is still a member.
+static const Member* completedReplacement(const Members& members)
 {
     for (const Member& it : members.list)
         if (it.role == Role::Voter && findMember(members, it.replaces))
@@ -153,22 +154,22 @@
 static bool responds(const Replica& r, ReplicaId id, base::Time now)
 {
     const auto progress = r.progress.find(id);
-    return id == r.id || (progress != r.progress.end() && progress->second.answered && now - progress->second.heard < r.config.electionTimeout);
+    return id == r.id || (progress != r.progress.end() && progress->second.hasResponded && now - progress->second.lastContact < r.config.electionTimeout);
 }
 
-// Joining, and holding all that is committed. Let in earlier it would be counted on for a majority while it still
-// copies the log, and the loss of one more host would stop the log for that long.
-static bool caughtUp(const Replica& r, const Members& members, const Member& member, base::Time now)
+// Joining, and holds everything that is committed. Promoted earlier, it would count for a majority while it still
+// copies the log, and the loss of one more host would stop the log for that time.
+static bool isCaughtUp(const Replica& r, const Members& members, const Member& member, base::Time now)
 {
     if (member.role != Role::Joining || !responds(r, member.id, now))
         return false;
     const Progress& p = r.progress.at(member.id);
-    return p.match >= r.commit && p.recordedCommit >= members.index;
+    return p.matchIndex >= r.commit && p.recordedCommit >= members.index;
 }
 
-// A further voter makes an odd number even, which raises the majority and not the losses that it bears. With a voter
-// down at that moment none would be left to lose, so the replica stands by until that one answers or is taken out. One that
-// replaces a member goes on: the member's removal follows.
+// A further voter makes an odd number even, which raises the majority but not the number of tolerated losses. With a
+// voter down at that moment no further loss would be tolerated, so the replica stays on standby until that voter
+// responds or is removed. A replica that replaces a member is promoted regardless: the member's removal follows.
 static bool mayBecomeVoter(const Replica& r, const Members& members, const Member& joining, base::Time now)
 {
     size_t voters = 0;
@@ -185,39 +186,39 @@
     return belowLimit && (voters % 2 == 0 || allRespond);
 }
 
-static const Member* nextVoter(const Replica& r, const Members& members, base::Time now)
+static const Member* nextVoterToPromote(const Replica& r, const Members& members, base::Time now)
 {
     for (const Member& it : members.list) {
-        if (caughtUp(r, members, it, now) && mayBecomeVoter(r, members, it, now))
+        if (isCaughtUp(r, members, it, now) && mayBecomeVoter(r, members, it, now))
             return &it;
     }
     return nullptr;
 }
 
-static bool provesLoss(const Replica& r, const Members& members, const Member& joining)
+static bool provesReplicaLost(const Replica& r, const Members& members, const Member& joining)
 {
     const Member* replaced = findMember(members, joining.replaces);
     return r.config.oneReplicaPerHost && replaced && replaced->host == joining.host;
 }
 
-void continueRepair(Context& c)
+void advanceRepair(Context& c)
 {
     const Replica& r = c.replica;
     if (!isLeader(r) || !changeAllowed(r))
         return;
     const Members& members = latestMembers(r);
     std::vector<Member> list = members.list;
-    if (const Member* it = replacement(members)) {
+    if (const Member* it = completedReplacement(members)) {
         list = without(std::move(list), it->replaces);
-    } else if (const Member* joining = nextVoter(r, members, c.now)) {
+    } else if (const Member* joining = nextVoterToPromote(r, members, c.now)) {
         const ReplicaId id = joining->id;
         std::find_if(list.begin(), list.end(), [&](const Member& m) { return m.id == id; })->role = Role::Voter;
-        if (provesLoss(r, members, *joining))
+        if (provesReplicaLost(r, members, *joining))
             list = without(std::move(list), joining->replaces);
     } else {
         return;
     }
-    begin(c, {}, std::move(list));
+    beginChange(c, {}, std::move(list));
 }
 
 } // namespace appletally::consensus::core
@@ -243,7 +244,7 @@
 {
     const Members& members = latestMembers(r);
     return isLeader(r) && std::any_of(members.list.begin(), members.list.end(), [&](const Member& it) {
-        return core::caughtUp(r, members, it, now) && !findMember(members, it.replaces);
+        return core::isCaughtUp(r, members, it, now) && !findMember(members, it.replaces);
     });
 }
 
--- a/src/appletally/consensus/message.cpp
+++ b/src/appletally/consensus/message.cpp
@@ -1,4 +1,5 @@
-// Messages and records as CBOR arrays, by nlohmann json. Positions are fixed; a wrong type or length is MessageMalformed.
+// Messages and records as CBOR arrays, encoded with nlohmann json. Positions are fixed; a wrong type or length is
+// MessageMalformed.
 #include "appletally/consensus/message.h"
 
 #include <nlohmann/json.hpp>
@@ -7,10 +8,10 @@
 
 using Json = nlohmann::json;
 
-// CBOR knows byte strings, so that the bytes of a proposal need not be UTF-8.
-static Json bytesOf(const std::string& text) { return Json::binary({ text.begin(), text.end() }); }
+// CBOR byte strings, because the bytes of a proposal need not be UTF-8.
+static Json binaryOf(const std::string& data) { return Json::binary({ data.begin(), data.end() }); }
 
-static std::string textOf(const Json& value)
+static std::string stringOf(const Json& value)
 {
     const Json::binary_t& bytes = value.get_ref<const Json::binary_t&>();
     return { bytes.begin(), bytes.end() };
@@ -20,7 +21,7 @@
 static Number numberOf(const Json& value)
 {
     if (!value.is_number_unsigned())
-        throw std::invalid_argument("expected a number");
+        throw std::invalid_argument("expected an unsigned integer");
     return { value.get<uint64_t>() };
 }
 
@@ -38,7 +39,7 @@
     for (const Json& it : value) {
         const auto role = it.at(2).get<uint8_t>();
         if (role < static_cast<uint8_t>(Role::Learner) || role > static_cast<uint8_t>(Role::Voter))
-            throw std::invalid_argument("no such role");
+            throw std::invalid_argument("unknown member role");
         result.push_back({ numberOf<ReplicaId>(it.at(0)), { it.at(1).get<std::string>() }, static_cast<Role>(role), numberOf<ReplicaId>(it.at(3)) });
     }
     return result;
@@ -46,15 +47,15 @@
 
 static Json jsonOf(const Entry& it)
 {
-    return { it.index.value, it.term.value, static_cast<uint8_t>(it.kind), bytesOf(it.data), listOf(it.members) };
+    return { it.index.value, it.term.value, static_cast<uint8_t>(it.kind), binaryOf(it.data), listOf(it.members) };
 }
 
 static Entry entryOf(const Json& value)
 {
     const auto kind = value.at(2).get<uint8_t>();
-    if (kind < static_cast<uint8_t>(EntryKind::Nothing) || kind > static_cast<uint8_t>(EntryKind::Change))
-        throw std::invalid_argument("no such kind of entry");
-    return { numberOf<LogIndex>(value.at(0)), numberOf<Term>(value.at(1)), static_cast<EntryKind>(kind), textOf(value.at(3)), membersOf(value.at(4)) };
+    if (kind < static_cast<uint8_t>(EntryKind::NoOp) || kind > static_cast<uint8_t>(EntryKind::MemberChange))
+        throw std::invalid_argument("unknown entry kind");
+    return { numberOf<LogIndex>(value.at(0)), numberOf<Term>(value.at(1)), static_cast<EntryKind>(kind), stringOf(value.at(3)), membersOf(value.at(4)) };
 }
 
 static Json listOf(const std::vector<Entry>& entries)
@@ -83,15 +84,15 @@
     return { numberOf<LogIndex>(value.at(0)), numberOf<Term>(value.at(1)), { numberOf<LogIndex>(value.at(2)), membersOf(value.at(3)) } };
 }
 
-static Json jsonOf(const VoteAsk& it) { return { it.pre, it.lastIndex.value, it.lastTerm.value }; }
-static Json jsonOf(const VoteAnswer& it) { return { it.pre, it.granted }; }
+static Json jsonOf(const VoteRequest& it) { return { it.pre, it.lastIndex.value, it.lastTerm.value }; }
+static Json jsonOf(const VoteResponse& it) { return { it.pre, it.granted }; }
 static Json jsonOf(const AppendEntries& it)
 {
     return { it.previousIndex.value, it.previousTerm.value, listOf(it.entries), it.commit.value, it.released.value, it.round };
 }
-static Json jsonOf(const AppendAnswer& it) { return { it.matched, it.index.value, it.recordedCommit.value, it.round }; }
-static Json jsonOf(const SnapshotChunk& it) { return { jsonOf(it.meta), it.offset, it.total, bytesOf(it.data), it.round }; }
-static Json jsonOf(const SnapshotAnswer& it) { return { it.index.value, it.offset, it.round }; }
+static Json jsonOf(const AppendResponse& it) { return { it.matched, it.index.value, it.recordedCommit.value, it.round }; }
+static Json jsonOf(const SnapshotChunk& it) { return { jsonOf(it.meta), it.offset, it.total, binaryOf(it.data), it.round }; }
+static Json jsonOf(const SnapshotResponse& it) { return { it.index.value, it.offset, it.round }; }
 
 static decltype(Message::body) bodyOf(uint64_t kind, const Json& v)
 {
@@ -100,35 +101,35 @@
     const auto flag = [&](size_t n) { return v.at(n).get<bool>(); };
     switch (kind) {
     case 0:
-        return VoteAsk { flag(0), index(1), numberOf<Term>(v.at(2)) };
+        return VoteRequest { flag(0), index(1), numberOf<Term>(v.at(2)) };
     case 1:
-        return VoteAnswer { flag(0), flag(1) };
+        return VoteResponse { flag(0), flag(1) };
     case 2:
         return AppendEntries { index(0), numberOf<Term>(v.at(1)), entriesOf(v.at(2)), index(3), index(4), count(5) };
     case 3:
-        return AppendAnswer { flag(0), index(1), index(2), count(3) };
+        return AppendResponse { flag(0), index(1), index(2), count(3) };
     case 4:
-        return SnapshotChunk { metaOf(v.at(0)), count(1), count(2), textOf(v.at(3)), count(4) };
+        return SnapshotChunk { metaOf(v.at(0)), count(1), count(2), stringOf(v.at(3)), count(4) };
     case 5:
-        return SnapshotAnswer { index(0), count(1), count(2) };
+        return SnapshotResponse { index(0), count(1), count(2) };
     default:
-        throw std::invalid_argument("no such message");
+        throw std::invalid_argument("unknown message kind");
     }
 }
 
-static std::string bytes(const Json& value)
+static std::string toCbor(const Json& value)
 {
     std::string result;
     Json::to_cbor(value, result);
     return result;
 }
 
-// Everything that the json library throws on foreign bytes ends here.
-template <typename Of>
-static auto parsed(std::string_view text, Of of) -> base::Result<decltype(of(Json {}))>
+// Converts every exception that the json library throws on invalid input.
+template <typename Convert>
+static auto parseCbor(std::string_view cbor, Convert convert) -> base::Result<decltype(convert(Json {}))>
 {
     try {
-        return of(Json::from_cbor(text.begin(), text.end()));
+        return convert(Json::from_cbor(cbor.begin(), cbor.end()));
     } catch (const std::exception& e) {
         return base::fail(base::Code::MessageMalformed, e.what());
     }
@@ -137,12 +138,12 @@
 std::string encode(const Message& m)
 {
     const Json body = std::visit([](const auto& it) { return jsonOf(it); }, m.body);
-    return bytes({ m.from.value, m.to.value, m.term.value, m.body.index(), body });
+    return toCbor({ m.from.value, m.to.value, m.term.value, m.body.index(), body });
 }
 
-base::Result<Message> decode(std::string_view text)
+base::Result<Message> decode(std::string_view cbor)
 {
-    return parsed(text, [](const Json& v) {
+    return parseCbor(cbor, [](const Json& v) {
         return Message { numberOf<ReplicaId>(v.at(0)), numberOf<ReplicaId>(v.at(1)), numberOf<Term>(v.at(2)),
             bodyOf(numberOf<LogIndex>(v.at(3)).value, v.at(4)) };
     });
@@ -151,7 +152,7 @@
 static Persist persistOf(const Json& value)
 {
     Persist it;
-    it.cutFrom = numberOf<LogIndex>(value.at(0));
+    it.truncateFrom = numberOf<LogIndex>(value.at(0));
     it.entries = entriesOf(value.at(1));
     it.state = { numberOf<Term>(value.at(2)), numberOf<ReplicaId>(value.at(3)), numberOf<LogIndex>(value.at(4)) };
     return it;
@@ -159,17 +160,17 @@
 
 std::string encodeWrite(const Persist& it)
 {
-    return bytes({ it.cutFrom.value, listOf(it.entries), it.state.term.value, it.state.vote.value, it.state.commit.value });
+    return toCbor({ it.truncateFrom.value, listOf(it.entries), it.state.term.value, it.state.vote.value, it.state.commit.value });
 }
 
-base::Result<Persist> decodeWrite(std::string_view text) { return parsed(text, persistOf); }
-std::string encodeMeta(const SnapshotMeta& meta) { return bytes(jsonOf(meta)); }
-base::Result<SnapshotMeta> decodeMeta(std::string_view text) { return parsed(text, metaOf); }
-std::string encodeMember(const Member& member) { return bytes(listOf({ member })); }
+base::Result<Persist> decodeWrite(std::string_view cbor) { return parseCbor(cbor, persistOf); }
+std::string encodeMeta(const SnapshotMeta& meta) { return toCbor(jsonOf(meta)); }
+base::Result<SnapshotMeta> decodeMeta(std::string_view cbor) { return parseCbor(cbor, metaOf); }
+std::string encodeMember(const Member& member) { return toCbor(listOf({ member })); }
 
-base::Result<Member> decodeMember(std::string_view text)
+base::Result<Member> decodeMember(std::string_view cbor)
 {
-    return parsed(text, [](const Json& v) { return membersOf(Json::array({ v.at(0) })).at(0); });
+    return parseCbor(cbor, [](const Json& v) { return membersOf(Json::array({ v.at(0) })).at(0); });
 }
 
 } // namespace appletally::consensus
--- a/src/appletally/consensus/message.h
+++ b/src/appletally/consensus/message.h
@@ -1,6 +1,7 @@
-// What replicas say to each other, and its bytes on the wire (CBOR).
+// Messages between replicas and their wire encoding (CBOR).
 //
-// All messages may be lost, late, doubled or crossed; the receiver goes by term, index and round, never by order.
+// Messages may be lost, delayed, duplicated or reordered; receivers rely on term, index and round, never on arrival
+// order.
 #pragma once
 
 #include "appletally/base/result.h"
@@ -10,59 +11,59 @@
 
 namespace appletally::consensus {
 
-struct VoteAsk {
-    bool pre = false; // pre-vote: "would you vote for me?", changes no term
+struct VoteRequest {
+    bool pre = false; // pre-vote: asks whether the receiver would grant its vote; changes no term
     LogIndex lastIndex; // of the candidate's log
     Term lastTerm;
 };
 
-struct VoteAnswer {
+struct VoteResponse {
     bool pre = false;
     bool granted = false;
 };
 
-// Also the heartbeat, then without entries.
+// Without entries it is the heartbeat.
 struct AppendEntries {
-    LogIndex previousIndex; // the entry before the first of `entries`
+    LogIndex previousIndex; // index of the entry before the first of `entries`
     Term previousTerm;
     std::vector<Entry> entries;
-    LogIndex commit; // the leader's
+    LogIndex commit; // of the leader
     LogIndex released; // see released.h
-    uint64_t round = 0; // the leader's latest read round; the answer repeats it
+    uint64_t round = 0; // the leader's latest read round; repeated in the response
 };
 
-struct AppendAnswer {
+struct AppendResponse {
     bool matched = false;
-    LogIndex index; // matched: durable and equal to the leader's up to here; else: where to try next
+    LogIndex index; // matched: durable and equal to the leader's log up to here; otherwise: where the leader probes next
     LogIndex recordedCommit; // durable
     uint64_t round = 0;
 };
 
 struct SnapshotChunk {
     SnapshotMeta meta;
-    uint64_t offset = 0; // of `data` in the whole
-    uint64_t total = 0; // bytes of the whole
+    uint64_t offset = 0; // of `data` in the snapshot
+    uint64_t total = 0; // size of the snapshot in bytes
     std::string data;
     uint64_t round = 0;
 };
 
-struct SnapshotAnswer {
+struct SnapshotResponse {
     LogIndex index; // of the snapshot
-    uint64_t offset = 0; // the next byte wanted; when the whole is durable an AppendAnswer comes instead
+    uint64_t offset = 0; // next expected byte; once the complete snapshot is durable, an AppendResponse is sent instead
     uint64_t round = 0;
 };
 
 struct Message {
     ReplicaId from;
     ReplicaId to;
-    Term term; // of the sender; a pre-vote carries the term that it would begin
-    std::variant<VoteAsk, VoteAnswer, AppendEntries, AppendAnswer, SnapshotChunk, SnapshotAnswer> body;
+    Term term; // of the sender; a pre-vote carries the term that it would start
+    std::variant<VoteRequest, VoteResponse, AppendEntries, AppendResponse, SnapshotChunk, SnapshotResponse> body;
 };
 
 std::string encode(const Message&);
 base::Result<Message> decode(std::string_view); // MessageMalformed
 
-// For the disk. A write is a Persist without its snapshot.
+// Encoding on disk. A write is a Persist without its snapshot.
 std::string encodeWrite(const Persist&);
 base::Result<Persist> decodeWrite(std::string_view);
 std::string encodeMeta(const SnapshotMeta&);
--- a/src/appletally/consensus/released.cpp
+++ b/src/appletally/consensus/released.cpp
@@ -1,4 +1,4 @@
-// The release rule and the proof that a booting node asks for.
+// The release rule and the evaluation of the answers to a booting node.
 #include "appletally/consensus/released.h"
 
 #include <algorithm>
@@ -15,14 +15,14 @@
 {
     Members result = r.snapshot->meta.members;
     for (const Entry& it : r.entries)
-        if (it.kind == EntryKind::Change && it.index > result.index && it.index <= r.recordedCommit)
+        if (it.kind == EntryKind::MemberChange && it.index > result.index && it.index <= r.recordedCommit)
             result = { it.index, it.members };
     return result;
 }
 
 std::optional<BootAnswer> bootAnswer(const Replica& r)
 {
-    // A snapshot still on its way to the disk hides which members were recorded before it.
+    // With a snapshot that is not durable yet, the members recorded before it are unknown.
     if (r.snapshot->meta.index > r.recordedCommit)
         return {};
     BootAnswer answer { r.id, r.recordedCommit, recordedMembers(r) };
@@ -32,7 +32,8 @@
     return answer;
 }
 
-// What the voters among the newest members that any answer knows have recorded, highest first; empty: no majority of them.
+// Recorded commits of the voters among the newest members known to any answer, highest first; empty: no majority of
+// them.
 static std::vector<LogIndex> majorityCommits(std::span<const BootAnswer> answers, size_t& majority)
 {
     std::map<ReplicaId, LogIndex> commits;
--- a/src/appletally/consensus/released.h
+++ b/src/appletally/consensus/released.h
@@ -1,12 +1,14 @@
-// Which versions nodes may have, and where a node that has forgotten everything may start.
+// The release rule: which versions nodes may apply, and the minimum version at which a node without any state may
+// start.
 //
-// An index is released once a majority of the voters has durably recorded it as committed. A booting node asks a
-// majority of the voters for their recorded commits and starts at no less than the highest: the two majorities share a
-// replica, so no boot is below anything that any node ever applied. No clock is in it and no leader is needed.
+// An index is released once a majority of the voters has durably recorded it as committed. A booting node requests the
+// recorded commits of a majority of the voters and starts at the highest of them or above: the two majorities share a
+// replica, so no node boots below a version that any node ever applied. The rule depends on neither clocks nor a
+// leader.
 //
-// Members change under it, so a majority means: of the newest members that any of the answers knows to be committed.
-// It stays true along a chain of changes because the leader begins a change only once the change before it is itself
-// released: whoever asks a majority of older members then meets one that knows of the newer ones.
+// Members may change meanwhile, so a majority is counted among the newest members that any of the answers knows to be
+// committed. This holds along a chain of changes because the leader starts a change only once the previous change is
+// itself released: a node that queries a majority of older members then reaches one that knows the newer members.
 #pragma once
 
 #include "appletally/consensus/replica.h"
@@ -16,24 +18,25 @@
 
 namespace appletally::consensus {
 
-// The highest index known here to be released; on the leader from the voters' answers, elsewhere as the leader said.
+// The highest index known here to be released: on the leader from the voters' responses, elsewhere as sent by the
+// leader.
 LogIndex releasedIndex(const Replica&);
 
-// A voter's answer to a booting node. All of it is durable.
+// A voter's answer to a booting node. All fields are durable.
 struct BootAnswer {
     ReplicaId from;
     LogIndex recordedCommit;
-    Members members; // the newest committed ones
+    Members members; // newest committed members
 };
 
-// Empty on a replica that was never let in as a voter, or knows that it was taken out: it must not answer.
+// Empty on a replica that was never added as a voter, or that knows of its removal: it must not answer.
 std::optional<BootAnswer> bootAnswer(const Replica&);
 
-// The lowest version at which the asking node may start; empty: not yet a majority. One answer per replica counts.
+// The minimum version at which the requesting node may start; empty: no majority yet. One answer per replica counts.
 std::optional<LogIndex> minBootIndex(std::span<const BootAnswer>);
 
-// The highest index that the same answers show to be released; empty: not yet a majority. Where all have started again it is
-// known before there is a leader, who would only say the same.
+// The highest index that the same answers prove to be released; empty: no majority yet. When all replicas have
+// restarted, it is known before a leader is elected, which would report the same.
 std::optional<LogIndex> provenReleasedIndex(std::span<const BootAnswer>);
 
 } // namespace appletally::consensus
--- a/src/appletally/consensus/replica.cpp
+++ b/src/appletally/consensus/replica.cpp
@@ -1,4 +1,4 @@
-// The step function's frame: time first, then the input, then what became ready.
+// Entry point of the step function: checks timeouts, handles the input, then collects the output.
 #include "appletally/consensus/replica.h"
 
 #include "appletally/consensus/core.h"
@@ -17,9 +17,9 @@
         c.ready.messages.push_back({ c.replica.id, to, c.replica.state.term, std::move(body) });
     }
 
-    void sendOnceDurable(Context& c, ReplicaId to, decltype(Message::body) body)
+    void sendAfterPersist(Context& c, ReplicaId to, decltype(Message::body) body)
     {
-        c.held.push_back({ c.replica.id, to, c.replica.state.term, std::move(body) });
+        c.heldMessages.push_back({ c.replica.id, to, c.replica.state.term, std::move(body) });
     }
 
 } // namespace core
@@ -42,10 +42,11 @@
     return r;
 }
 
-// After a pause of this process (a long computation, an overloaded processor, a freeze), messages from other replicas may
-// still be unread in its sockets. Replicas heard within an election timeout before the pause get a grace period before they
-// count as silent, once until they are heard again, and a follower does not stand for election during its leader's. A pause
-// of two election timeouts or more gets no grace period: by then the others are expected to have elected another leader.
+// After a pause of this process (a long computation, an overloaded processor, a freeze), messages from other replicas
+// may still be unread in its sockets. Replicas heard within an election timeout before the pause get a grace period
+// before they count as unresponsive, once until they are heard again, and a follower starts no election during its
+// leader's. A pause of two election timeouts or more gets no grace period: by then the others are expected to have
+// elected another leader.
 static void extendTimeoutsAfterPause(Context& c)
 {
     Replica& r = c.replica;
@@ -54,41 +55,41 @@
     const base::Time lastStep = std::exchange(r.lastStep, c.now);
     if (c.now - lastStep < grace || c.now - lastStep >= timeout * 2)
         return;
-    const auto extend = [&](base::Time& heard, bool& extended) {
-        if (extended || lastStep - heard >= timeout)
+    const auto extend = [&](base::Time& lastContact, bool& extended) {
+        if (extended || lastStep - lastContact >= timeout)
             return false;
-        heard = std::max(heard, c.now - timeout + grace);
+        lastContact = std::max(lastContact, c.now - timeout + grace);
         return extended = true;
     };
     if (!isLeader(r)) {
-        if (extend(r.leaderHeard, r.leaderHeardExtended))
-            r.electionAt = std::max(r.electionAt, c.now + grace);
+        if (extend(r.lastLeaderContact, r.leaderContactExtended))
+            r.electionDeadline = std::max(r.electionDeadline, c.now + grace);
         return;
     }
     for (auto& [id, it] : r.progress)
-        extend(it.heard, it.heardExtended);
+        extend(it.lastContact, it.contactExtended);
 }
 
-// A process may have been frozen for any time before this step. Its lease and its election timeout are looked at
-// before the input is, so that a thawed leader learns that it is none before it takes a proposal.
-static void checkTime(Context& c)
+// The process may have been frozen for any time before this step. Lease and election timeout are checked before the
+// input, so that a leader resumed after its lease expired steps down before it accepts a proposal.
+static void checkTimeouts(Context& c)
 {
     Replica& r = c.replica;
     extendTimeoutsAfterPause(c);
-    if (isLeader(r) && !core::majorityHeard(c, latestMembers(r)))
+    if (isLeader(r) && !core::majorityResponds(c, latestMembers(r)))
         core::becomeFollower(c, r.state.term, {});
     if (isLeader(r)) {
-        core::continueChange(c);
-        if (c.now >= r.heartbeatAt)
+        core::advanceChange(c);
+        if (c.now >= r.nextHeartbeat)
             core::sendHeartbeats(c);
         return;
     }
-    if (c.now < r.electionAt)
+    if (c.now < r.electionDeadline)
         return;
-    if (core::mayStand(r))
-        core::standForElection(c);
+    if (core::mayCampaign(r))
+        core::startPreVote(c);
     else
-        core::resetElection(c);
+        core::resetElectionTimeout(c);
 }
 
 static Refused notLeader(const Replica& r, uint64_t id)
@@ -99,38 +100,38 @@
     return result;
 }
 
-static void take(Context&, const Tick&) { }
+static void handle(Context&, const Tick&) { }
 
 static void deliver(Context& c, const Message& m)
 {
     Replica& r = c.replica;
-    // A message for the replica that this host had before its disk was lost is not for this one.
+    // A message for the replica that this host had before its disk was lost is not meant for this one.
     if (m.to != r.id)
         return;
     std::visit([&](const auto& body) { core::receive(c, m, body); }, m.body);
 }
 
-static void take(Context& c, const Received& input) { deliver(c, input.message); }
+static void handle(Context& c, const Received& input) { deliver(c, input.message); }
 
-static void take(Context& c, const Propose& input)
+static void handle(Context& c, const Propose& input)
 {
     Replica& r = c.replica;
     if (!isLeader(r)) {
         c.ready.refused.push_back(notLeader(r, input.id));
         return;
     }
-    if (lastIndex(r).value - r.commit.value >= r.config.pendingEntries) {
+    if (lastIndex(r).value - r.commit.value >= r.config.maxPendingEntries) {
         c.ready.refused.push_back({ input.id, base::Code::Overloaded, r.id, r.host });
         return;
     }
     const LogIndex index { lastIndex(r).value + 1 };
     r.proposals[index.value] = { r.state.term, input.id };
     core::append(c, { index, r.state.term, EntryKind::Data, input.data, {} });
-    core::sendNews(c);
+    core::sendUpdates(c);
 }
 
 template <typename Input>
-static void askLeader(Context& c, const Input& input)
+static void handleOnLeader(Context& c, const Input& input)
 {
     if (isLeader(c.replica))
         core::receive(c, input);
@@ -138,57 +139,57 @@
         c.ready.refused.push_back(notLeader(c.replica, input.id));
 }
 
-static void take(Context& c, const ReadIndex& input) { askLeader(c, input); }
-static void take(Context& c, const AddMembers& input) { askLeader(c, input); }
-static void take(Context& c, const RemoveMember& input) { askLeader(c, input); }
+static void handle(Context& c, const ReadIndex& input) { handleOnLeader(c, input); }
+static void handle(Context& c, const AddMembers& input) { handleOnLeader(c, input); }
+static void handle(Context& c, const RemoveMember& input) { handleOnLeader(c, input); }
 
-static void take(Context& c, const Persisted& input)
+static void handle(Context& c, const Persisted& input)
 {
     Replica& r = c.replica;
     r.persisted = std::max(r.persisted, input.sequence);
-    while (!r.marks.empty() && r.marks.begin()->first <= r.persisted) {
-        const auto [last, commit] = r.marks.begin()->second;
+    while (!r.pendingPersists.empty() && r.pendingPersists.begin()->first <= r.persisted) {
+        const auto [last, commit] = r.pendingPersists.begin()->second;
         r.durableIndex = std::max(r.durableIndex, last);
         r.recordedCommit = std::max(r.recordedCommit, commit);
-        r.marks.erase(r.marks.begin());
+        r.pendingPersists.erase(r.pendingPersists.begin());
     }
-    std::vector<HeldMessage> waiting;
-    std::swap(waiting, r.held);
-    for (HeldMessage& it : waiting) {
+    std::vector<HeldMessage> unsent;
+    std::swap(unsent, r.heldMessages);
+    for (HeldMessage& it : unsent) {
         if (it.sequence > r.persisted)
-            r.held.push_back(std::move(it));
+            r.heldMessages.push_back(std::move(it));
         else if (it.message.to == r.id)
-            deliver(c, it.message); // its own vote
+            deliver(c, it.message); // this replica's own vote
         else
             c.ready.messages.push_back(std::move(it.message));
     }
     if (isLeader(r))
-        core::afterProgress(c);
+        core::processProgress(c);
 }
 
-static void take(Context& c, const SnapshotTaken& input)
+static void handle(Context& c, const SnapshotTaken& input)
 {
     Replica& r = c.replica;
     if (input.index <= r.snapshot->meta.index || input.index > r.applied)
         return;
     Snapshot taken { { input.index, *core::termAt(r, input.index), core::membersAt(r, input.index) }, input.data };
     const uint64_t first = core::firstIndex(r).value;
-    const uint64_t wanted = input.index.value + 1 > r.config.keepEntries ? input.index.value + 1 - r.config.keepEntries : 1;
-    const uint64_t keepFrom = std::max(first, wanted);
-    r.entries.erase(r.entries.begin(), r.entries.begin() + static_cast<int64_t>(keepFrom - first));
+    const uint64_t retainStart = input.index.value + 1 > r.config.retainedEntries ? input.index.value + 1 - r.config.retainedEntries : 1;
+    const uint64_t retainFrom = std::max(first, retainStart);
+    r.entries.erase(r.entries.begin(), r.entries.begin() + static_cast<int64_t>(retainFrom - first));
     r.snapshot = std::make_shared<const Snapshot>(std::move(taken));
     r.persist.snapshot = r.snapshot;
-    r.persist.keepFrom = { keepFrom };
+    r.persist.retainFrom = { retainFrom };
 }
 
-static void handOutCommitted(Context& c)
+static void collectCommitted(Context& c)
 {
     Replica& r = c.replica;
     while (r.applied < r.commit) {
         r.applied.value++;
         const Entry& entry = r.entries[r.applied.value - core::firstIndex(r).value];
         c.ready.committed.push_back(entry);
-        if (entry.kind == EntryKind::Change)
+        if (entry.kind == EntryKind::MemberChange)
             c.ready.membersChanged = true;
         const auto it = r.proposals.find(entry.index.value);
         if (it == r.proposals.end())
@@ -199,25 +200,25 @@
             c.ready.unknown.push_back({ it->second.second });
         r.proposals.erase(it);
     }
-    // A leader that was taken out leads until that is committed, so that somebody does commit it.
+    // A removed leader continues to lead until its removal is committed, so that the entry does get committed.
     if (isLeader(r) && !core::isVoter(latestMembers(r), r.id) && latestMembers(r).index <= r.commit)
         core::becomeFollower(c, r.state.term, {});
 }
 
-static void handOutPersist(Context& c)
+static void collectPersist(Context& c)
 {
     Replica& r = c.replica;
     Persist& p = r.persist;
-    if (p.snapshot || p.cutFrom.value || !p.entries.empty() || p.stateChanged) {
+    if (p.snapshot || p.truncateFrom.value || !p.entries.empty() || p.stateChanged) {
         p.sequence = ++r.sequence;
         p.state = r.state;
-        r.marks[p.sequence] = { lastIndex(r), r.state.commit };
+        r.pendingPersists[p.sequence] = { lastIndex(r), r.state.commit };
         c.ready.persist = std::move(p);
         r.persist = {};
     }
-    for (Message& it : c.held) {
+    for (Message& it : c.heldMessages) {
         if (r.sequence > r.persisted)
-            r.held.push_back({ r.sequence, std::move(it) });
+            r.heldMessages.push_back({ r.sequence, std::move(it) });
         else
             c.ready.messages.push_back(std::move(it));
     }
@@ -230,14 +231,14 @@
     if (!r.started) {
         r.started = true;
         r.lastStep = now;
-        core::startElectionClock(c);
+        core::startFirstElectionTimeout(c);
         if (r.snapshot->data)
             ready.restore = r.snapshot;
     }
-    checkTime(c);
-    std::visit([&](const auto& it) { take(c, it); }, input);
-    handOutCommitted(c);
-    handOutPersist(c);
+    checkTimeouts(c);
+    std::visit([&](const auto& it) { handle(c, it); }, input);
+    collectCommitted(c);
+    collectPersist(c);
     return ready;
 }
 
--- a/src/appletally/consensus/types.h
+++ b/src/appletally/consensus/types.h
@@ -1,7 +1,7 @@
-// Plain data of the replicated log: entries, members, snapshots, and what a replica must find on its disk again.
+// Plain data of the replicated log: entries, members, snapshots, and the state that a replica reads from disk at start.
 //
-// A replica is a formatted data folder, named by the random id that the format drew. A host that lost its disk comes
-// back as another replica, so that nothing ever counts on a vote or a record that went with the old disk.
+// A replica is one formatted data folder and is identified by the random id drawn by the format. A host that lost its
+// disk returns as a new replica, so no vote or record that was lost with the old disk is ever counted.
 #pragma once
 
 #include "appletally/base/clock.h"
@@ -18,8 +18,8 @@
 using base::Term;
 
 enum class Role : uint8_t {
-    Learner = 1, // gets the log, counts for nothing; a relay that wants the log stays one
-    Joining = 2, // a learner that the leader makes a voter as soon as it has caught up
+    Learner = 1, // replicates the log without counting for a majority; a relay that replicates the log stays a learner
+    Joining = 2, // a learner that the leader promotes to voter as soon as it has caught up
     Voter = 3,
 };
 
@@ -27,34 +27,34 @@
     ReplicaId id;
     base::HostId host;
     Role role = Role::Learner;
-    ReplicaId replaces; // taken out by the leader once this one votes; 0: nobody
+    ReplicaId replaces; // removed by the leader once this replica is a voter; 0: none
     bool operator==(const Member&) const = default;
 };
 
-// Who belongs to the log, as an entry or snapshot agreed on it. In force from the moment it is in a replica's log.
+// The members of the log as set by an entry or snapshot. Applied from the moment it is in a replica's log.
 struct Members {
-    LogIndex index; // of the entry that agreed on it; 0: as formatted
-    std::vector<Member> list; // by id, each id once
+    LogIndex index; // of the entry that set the members; 0: set by the format
+    std::vector<Member> list; // sorted by id, ids are unique
     bool operator==(const Members&) const = default;
 };
 
 enum class EntryKind : uint8_t {
-    Nothing = 1, // a new leader's first entry: only its commit shows what earlier terms committed
+    NoOp = 1, // first entry of a new leader; committing it commits all entries of earlier terms
     Data = 2,
-    Change = 3, // of members
+    MemberChange = 3, // change of members
 };
 
 struct Entry {
-    LogIndex index; // counts from 1 without gaps
+    LogIndex index; // starts at 1, without gaps
     Term term;
-    EntryKind kind = EntryKind::Nothing;
-    std::string data; // Data: the bytes proposed
-    std::vector<Member> members; // Change: all members from here on
+    EntryKind kind = EntryKind::NoOp;
+    std::string data; // Data: the proposed bytes
+    std::vector<Member> members; // MemberChange: all members from this entry on
     bool operator==(const Entry&) const = default;
 };
 
 struct SnapshotMeta {
-    LogIndex index; // the last entry that it stands for; 0: none, only the members of the format
+    LogIndex index; // last entry included in the snapshot; 0: none, only the members set by the format
     Term term;
     Members members;
     bool operator==(const SnapshotMeta&) const = default;
@@ -62,10 +62,10 @@
 
 struct Snapshot {
     SnapshotMeta meta;
-    std::shared_ptr<const std::string> data; // the state machine's bytes; null while index is 0
+    std::shared_ptr<const std::string> data; // serialized state machine; null while index is 0
 };
 
-// What a replica promised. Each field only grows, `vote` within its term only from 0.
+// State that a replica must not lose. Each field only grows; `vote` changes within a term only from 0.
 struct HardState {
     Term term;
     ReplicaId vote; // in this term; 0: none
@@ -73,43 +73,48 @@
     bool operator==(const HardState&) const = default;
 };
 
-// All that a restart finds on the disk.
+// Everything that a restart reads from disk.
 struct Durable {
     ReplicaId id;
     base::HostId host;
     HardState state;
     Snapshot snapshot;
-    std::vector<Entry> entries; // without gaps; begins at or before snapshot index + 1
+    std::vector<Entry> entries; // without gaps; starts at or before snapshot index + 1
 };
 
-// One step's writes, to be made durable in this order: snapshot, cut, entries, state.
+// The writes of one step, to be made durable in this order: snapshot, truncation, entries, state.
 struct Persist {
     uint64_t sequence = 0; // to be repeated in Persisted
-    std::shared_ptr<const Snapshot> snapshot; // null: none. Entries up to its index may go, see `keepFrom`
-    LogIndex keepFrom; // with a snapshot: older entries are no longer needed
-    LogIndex cutFrom; // entries from here on are replaced; 0: none
+    std::shared_ptr<const Snapshot> snapshot; // null: none. Entries up to its index may be discarded, see `retainFrom`
+    LogIndex retainFrom; // with a snapshot: older entries are no longer needed
+    LogIndex truncateFrom; // entries from this index on are replaced; 0: none
     std::vector<Entry> entries;
     bool stateChanged = false;
-    HardState state; // always the newest
+    HardState state; // always the latest
 };
 
 struct Config {
-    // An election timeout of ten heartbeats rides out a lost packet's TCP retransmission (200 ms) without an election.
+    // An election timeout of ten heartbeats covers the TCP retransmission of a lost packet (200 ms) without an
+    // election.
     base::Duration heartbeat { 50 };
-    base::Duration electionTimeout { 500 }; // least; each wait is random between one and two of these
-    // The same for the pre-votes of a replica that has heard no leader since it started. When all start again at once nobody
-    // leads, and nodes wait for a leader to learn which version they may have; where somebody leads, pre-votes disturb nothing.
-    base::Duration firstElection { 150 };
-    size_t appendBytes = 256 * 1024; // entries in one Append; at least one entry goes
-    size_t chunkBytes = 256 * 1024; // of a snapshot in one message
-    uint64_t pendingEntries = 1000; // not committed yet; more proposals are refused, so that a slow majority costs no memory
-    // A host's new replica proves that the one before it is gone for good: the new one takes its place in a single change.
+    base::Duration electionTimeout { 500 }; // minimum; each timeout is random between one and two of these
+    // As electionTimeout, for the pre-votes of a replica that has heard no leader since it started. When all replicas
+    // start at once there is no leader, and nodes wait for one to learn which version they may apply; where a leader
+    // exists, pre-votes do not disturb it.
+    base::Duration firstElectionTimeout { 150 };
+    size_t maxAppendBytes = 256 * 1024; // entries in one AppendEntries; at least one entry is sent
+    size_t maxChunkBytes = 256 * 1024; // snapshot data in one message
+    uint64_t maxPendingEntries = 1000; // uncommitted entries; further proposals are refused, so that a slow majority does not grow memory without limit
+    // A new replica on a host proves that the host's previous replica is permanently lost; it takes the previous one's
+    // place in a single change.
     bool oneReplicaPerHost = false;
-    // Limit on the number of voters; 0: none. Other replicas stay joining: they replicate the log and replace removed voters.
+    // Maximum number of voters; 0: no limit. Further replicas stay joining: they replicate the log and replace removed
+    // voters.
     size_t maxVoters = 0;
-    // In heartbeats, for replicas without a vote. Must be shorter than the election timeout, or they count as not responding.
+    // In heartbeats, for non-voters. Must be shorter than the election timeout, otherwise non-voters count as not
+    // responding.
     int64_t nonVoterHeartbeatPeriod = 4;
-    uint64_t keepEntries = 1000; // behind a snapshot, so that a replica a little behind needs no snapshot
+    uint64_t retainedEntries = 1000; // entries kept behind a snapshot, so that a replica slightly behind does not need the snapshot
 };
 
 } // namespace appletally::consensus
--- a/tests/consensus_cluster.cpp
+++ b/tests/consensus_cluster.cpp
@@ -1,4 +1,4 @@
-// The network, disks and oracle for the tests of the replicated log.
+// Simulated network, disks and oracle for the tests of the replicated log.
 #include "consensus_cluster.h"
 
 #include <algorithm>
@@ -7,13 +7,14 @@
 
 namespace appletally::consensus::testing {
 
-static constexpr std::array<const char*, static_cast<size_t>(Do::Count)> names { "run", "pass", "propose", "read", "deliver",
+// Names of the commands in traces, in the order of Op.
+static constexpr std::array<const char*, static_cast<size_t>(Op::Count)> opNames { "run", "pass", "propose", "read", "deliver",
     "drop", "twice", "sync", "crash", "start", "lose-disk", "freeze", "thaw", "cut", "heal", "repair", "remove", "compact", "slow", "fast", "split", "noise", "strike", "outage",
     "return", "calm" };
 
-std::string text(const Action& it)
+std::string toString(const Action& it)
 {
-    return std::string(names[static_cast<size_t>(it.what)]) + " " + std::to_string(it.a) + " " + std::to_string(it.b);
+    return std::string(opNames[static_cast<size_t>(it.what)]) + " " + std::to_string(it.a) + " " + std::to_string(it.b);
 }
 
 Action parseAction(const std::string& line)
@@ -22,17 +23,17 @@
     std::string name;
     Action result;
     in >> name >> result.a >> result.b;
-    const auto* it = std::find(names.begin(), names.end(), name);
-    if (it == names.end())
-        throw Broken("no such command: " + line);
-    result.what = static_cast<Do>(it - names.begin());
+    const auto* it = std::find(opNames.begin(), opNames.end(), name);
+    if (it == opNames.end())
+        throw InvariantViolation("unknown command: " + line);
+    result.what = static_cast<Op>(it - opNames.begin());
     return result;
 }
 
 static void expect(bool holds, const std::string& what)
 {
     if (!holds)
-        throw Broken(what);
+        throw InvariantViolation(what);
 }
 
 static uint64_t nextRandom(Cluster& c)
@@ -43,7 +44,7 @@
 
 static base::HostId hostName(size_t n) { return { "h" + std::to_string(n) }; }
 
-// Ids grow by each format, unlike real ones, so that a shrunk run reads well.
+// Ids increase with each format, unlike real random ids, to keep a shrunk run readable.
 static void format(Cluster& c, size_t host, ReplicaId id, std::vector<Member> members)
 {
     Folder& folder = c.folders[id];
@@ -64,7 +65,7 @@
     host.replica = make(c.folders[host.id].durable, c.config);
     host.state.clear();
     host.applied = {};
-    c.feed(n, Tick {});
+    c.stepHost(n, Tick {});
 }
 
 Cluster::Cluster(size_t hostCount, uint64_t seed, base::Duration electionTimeout, bool oneReplicaPerHost, size_t maxVoters)
@@ -73,9 +74,9 @@
 {
     config.electionTimeout = electionTimeout;
     config.heartbeat = electionTimeout / 10;
-    config.keepEntries = 3;
-    config.chunkBytes = 16;
-    config.appendBytes = 24;
+    config.retainedEntries = 3;
+    config.maxChunkBytes = 16;
+    config.maxAppendBytes = 24;
     config.oneReplicaPerHost = oneReplicaPerHost;
     config.maxVoters = maxVoters;
     std::vector<Member> members;
@@ -83,7 +84,7 @@
         members.push_back({ { n + 1 }, hostName(n), maxVoters == 0 || n < maxVoters ? Role::Voter : Role::Joining, {} });
     for (size_t n = 0; n < hostCount; ++n)
         format(*this, n, { n + 1 }, members);
-    // A lease is only as good as the clocks; what must always hold has to hold with bad ones.
+    // Leases depend on clocks; safety has to hold with inaccurate clocks as well.
     for (size_t n = 0; n < hostCount; ++n) {
         hosts[n].clockPercent = seed < 4 ? 100 : 60 + static_cast<int64_t>(nextRandom(*this) % 80);
         start(*this, n);
@@ -92,14 +93,14 @@
 
 // --- Disk ---
 
-void makeDurable(Durable& disk, const Persist& p)
+void applyPersist(Durable& disk, const Persist& p)
 {
     if (p.snapshot) {
         disk.snapshot = *p.snapshot;
-        std::erase_if(disk.entries, [&](const Entry& it) { return it.index < p.keepFrom; });
+        std::erase_if(disk.entries, [&](const Entry& it) { return it.index < p.retainFrom; });
     }
-    if (p.cutFrom.value)
-        std::erase_if(disk.entries, [&](const Entry& it) { return it.index >= p.cutFrom; });
+    if (p.truncateFrom.value)
+        std::erase_if(disk.entries, [&](const Entry& it) { return it.index >= p.truncateFrom; });
     disk.entries.insert(disk.entries.end(), p.entries.begin(), p.entries.end());
     disk.state = p.state;
 }
@@ -110,10 +111,10 @@
     if (host.writes.empty())
         return;
     const uint64_t sequence = host.writes.front().sequence;
-    makeDurable(c.folders[host.id].durable, host.writes.front());
+    applyPersist(c.folders[host.id].durable, host.writes.front());
     host.writes.erase(host.writes.begin());
     if (host.up && !host.frozen)
-        c.feed(n, Persisted { sequence });
+        c.stepHost(n, Persisted { sequence });
 }
 
 static void crash(Cluster& c, size_t n, size_t reached)
@@ -123,9 +124,9 @@
         return;
     host.up = false;
     host.frozen = false;
-    host.strikeAfter = 0;
+    host.crashAfterSteps = 0;
     for (size_t w = 0; w < host.writes.size() && w < reached; ++w)
-        makeDurable(c.folders[host.id].durable, host.writes[w]);
+        applyPersist(c.folders[host.id].durable, host.writes[w]);
     host.writes.clear();
 }
 
@@ -145,12 +146,12 @@
     return result;
 }
 
-static void judgeApplied(Cluster& c, Host& host, const Ready& ready)
+static void checkApplied(Cluster& c, Host& host, const Ready& ready)
 {
     if (ready.restore) {
         host.applied = ready.restore->meta.index;
         host.state = *ready.restore->data;
-        expect(host.state == stateAt(c.oracle, host.applied), "a snapshot differs from what was applied elsewhere");
+        expect(host.state == stateAt(c.oracle, host.applied), "a snapshot differs from the state applied elsewhere");
     }
     for (const Entry& it : ready.committed) {
         expect(it.index.value == host.applied.value + 1, "an entry was applied out of order");
@@ -162,23 +163,23 @@
     }
 }
 
-static void judgeAnswers(Cluster& c, const Ready& ready)
+static void checkResults(Cluster& c, const Ready& ready)
 {
     Oracle& oracle = c.oracle;
     for (const Accepted& it : ready.accepted) {
         if (!oracle.proposed.contains(it.id))
             continue; // a change of members
-        expect(oracle.applied.contains(it.index) && oracle.applied.at(it.index).data == oracle.proposed[it.id], "accepted, but another entry is there");
+        expect(oracle.applied.contains(it.index) && oracle.applied.at(it.index).data == oracle.proposed[it.id], "accepted, but the log has another entry at its index");
         oracle.accepted[it.index] = oracle.proposed[it.id];
         oracle.proposed.erase(it.id);
     }
     for (const Refused& it : ready.refused)
         if (oracle.proposed.contains(it.id))
             for (const auto& [index, entry] : oracle.applied)
-                expect(entry.data != oracle.proposed[it.id], "refused, but it was accepted");
+                expect(entry.data != oracle.proposed[it.id], "refused, but it was applied");
     oracle.proposalsUnknown += ready.unknown.size();
     for (const ReadReady& it : ready.reads) {
-        expect(it.index >= oracle.reads[it.id], "a read would miss something accepted before it was asked");
+        expect(it.index >= oracle.reads[it.id], "a read would miss an entry accepted before the request");
         oracle.readsAnswered++;
     }
 }
@@ -196,9 +197,9 @@
     return recorders * 2 > voters;
 }
 
-// A step may release something and then begin a change of members, so the members are those of one moment in it: as
-// before the step for what lies before the change, else as after it.
-static void judgeReleased(Cluster& c, const Members& before, const Replica& r)
+// A step may release an index and then start a change of members, so the members that apply are those before the step
+// for an index before the change, and those after the step otherwise.
+static void checkReleased(Cluster& c, const Members& before, const Replica& r)
 {
     if (releasedIndex(r) <= c.oracle.released)
         return;
@@ -208,14 +209,14 @@
     expect(recordedByMajority(c, beforeChange ? before : after, c.oracle.released), "released, but no majority has recorded it as committed");
 }
 
-static void judgeBoots(Cluster& c)
+static void checkBootAnswers(Cluster& c)
 {
     std::vector<BootAnswer> all;
     for (const Host& it : c.hosts)
         if (it.up)
             if (const auto answer = bootAnswer(it.replica))
                 all.push_back(*answer);
-    LogIndex released; // shown to be by any of the answers: a source hands it out from now on
+    LogIndex released; // proven by any of the answers: a source distributes it from now on
     for (size_t mask = 1; mask < (size_t { 1 } << all.size()); ++mask) {
         std::vector<BootAnswer> some;
         for (size_t n = 0; n < all.size(); ++n)
@@ -228,7 +229,7 @@
     c.oracle.released = std::max(c.oracle.released, released);
 }
 
-void Cluster::feed(size_t n, Input input)
+void Cluster::stepHost(size_t n, Input input)
 {
     Host& host = hosts[n];
     steps++;
@@ -245,10 +246,10 @@
         if (hostOf.contains(it.to) && !cuts.contains({ n, hostOf[it.to] }))
             network.push_back({ std::move(copy), hostOf[it.to] });
     }
-    judgeApplied(*this, host, ready);
-    judgeAnswers(*this, ready);
-    judgeReleased(*this, before, host.replica);
-    if (host.strikeAfter > 0 && --host.strikeAfter == 0)
+    checkApplied(*this, host, ready);
+    checkResults(*this, ready);
+    checkReleased(*this, before, host.replica);
+    if (host.crashAfterSteps > 0 && --host.crashAfterSteps == 0)
         crash(*this, n, 0);
 }
 
@@ -269,22 +270,22 @@
     if (c.network.empty())
         return;
     n %= c.network.size();
-    const OnItsWay it = c.network[n];
+    const InFlightMessage it = c.network[n];
     Host& host = c.hosts[it.to];
     if (host.up && host.frozen)
-        return; // waits in its socket
+        return; // stays in its socket
     if (!keep)
         c.network.erase(c.network.begin() + static_cast<int64_t>(n));
     if (host.up && !c.cuts.contains({ c.hostOf[it.message.from], it.to }))
-        c.feed(it.to, Received { it.message });
+        c.stepHost(it.to, Received { it.message });
 }
 
-static bool happens(Cluster& c) { return c.noise > 0 && nextRandom(c) % 100 < c.noise; }
+static bool injectsFault(Cluster& c) { return c.noise > 0 && nextRandom(c) % 100 < c.noise; }
 
 static void syncAll(Cluster& c)
 {
     for (size_t n = 0; n < c.hosts.size(); ++n)
-        while (!c.hosts[n].frozen && !c.hosts[n].slow && !c.hosts[n].writes.empty() && !happens(c))
+        while (!c.hosts[n].frozen && !c.hosts[n].diskStalled && !c.hosts[n].writes.empty() && !injectsFault(c))
             sync(c, n);
 }
 
@@ -295,7 +296,7 @@
         size_t at = 0;
         for (size_t count = c.network.size(); count > 0 && at < c.network.size(); --count) {
             const Host& host = c.hosts[c.network[at].to];
-            const uint64_t fate = happens(c) ? nextRandom(c) % 3 : 3;
+            const uint64_t fate = injectsFault(c) ? nextRandom(c) % 3 : 3;
             if ((host.up && host.frozen) || fate == 0)
                 at++;
             else if (fate == 1)
@@ -311,16 +312,16 @@
     c.now = c.now + base::Duration { 10 };
     for (size_t n = 0; n < c.hosts.size(); ++n)
         if (c.hosts[n].up && !c.hosts[n].frozen)
-            c.feed(n, Tick {});
+            c.stepHost(n, Tick {});
 }
 
-// The log promises nothing once a majority of the voters' disks is gone, so the test takes no more than a minority: of
-// the newest members that are committed, and of all newer ones in any log.
-static bool lossIsBearable(const Cluster& c, ReplicaId id)
+// The log guarantees nothing once a majority of the voters' disks is lost, so the test loses only a minority: of the
+// newest committed members, and of all newer ones in any log.
+static bool isLossTolerable(const Cluster& c, ReplicaId id)
 {
     LogIndex newest;
     for (const auto& [index, entry] : c.oracle.applied)
-        if (entry.kind == EntryKind::Change)
+        if (entry.kind == EntryKind::MemberChange)
             newest = index;
     for (const auto& [other, folder] : c.folders) {
         if (folder.lost)
@@ -346,7 +347,7 @@
     return true;
 }
 
-void Cluster::wipe(size_t host)
+void Cluster::replaceDisk(size_t host)
 {
     crash(*this, host, 0);
     folders[hosts[host].id].lost = true;
@@ -363,31 +364,31 @@
 static void loseDisk(Cluster& c, size_t n)
 {
     crash(c, n, 0);
-    if (lossIsBearable(c, c.hosts[n].id))
-        c.wipe(n);
+    if (isLossTolerable(c, c.hosts[n].id))
+        c.replaceDisk(n);
 }
 
 static void propose(Cluster& c, size_t n)
 {
     const uint64_t id = ++c.lastId;
-    // Long enough that each entry goes in a message of its own.
+    // Long enough that each entry is sent in its own message.
     const std::string name = "p" + std::to_string(id);
-    c.oracle.proposed[id] = name + std::string(c.config.appendBytes - name.size(), '.');
-    c.feed(n, Propose { id, c.oracle.proposed[id] });
+    c.oracle.proposed[id] = name + std::string(c.config.maxAppendBytes - name.size(), '.');
+    c.stepHost(n, Propose { id, c.oracle.proposed[id] });
 }
 
 static void read(Cluster& c, size_t n)
 {
     const uint64_t id = ++c.lastId;
     c.oracle.reads[id] = c.oracle.accepted.empty() ? LogIndex {} : c.oracle.accepted.rbegin()->first;
-    c.feed(n, ReadIndex { id });
+    c.stepHost(n, ReadIndex { id });
 }
 
 static void repair(Cluster& c, size_t n)
 {
     const size_t leader = c.leader();
     if (leader != c.hosts.size())
-        c.feed(leader, AddMembers { ++c.lastId, { { c.hosts[n].id, hostName(n), Role::Joining, {} } } });
+        c.stepHost(leader, AddMembers { ++c.lastId, { { c.hosts[n].id, hostName(n), Role::Joining, {} } } });
 }
 
 static bool isUp(const Cluster& c, size_t n) { return n < c.hosts.size() && c.hosts[n].up && !c.hosts[n].frozen; }
@@ -407,105 +408,105 @@
     const bool runs = isUp(*this, a);
     const size_t chosen = action.a < hosts.size() ? action.a : leader();
     switch (action.what) {
-    case Do::Run:
+    case Op::Run:
         for (uint32_t n = 0; n < action.a; ++n) {
             tickAll(*this);
             deliverAll(*this);
         }
         break;
-    case Do::Pass:
+    case Op::AdvanceClock:
         for (uint32_t n = 0; n < action.a; ++n)
             tickAll(*this);
         break;
-    case Do::Propose:
+    case Op::Propose:
         if (isUp(*this, chosen))
             propose(*this, chosen);
         break;
-    case Do::Read:
+    case Op::Read:
         if (isUp(*this, chosen))
             read(*this, chosen);
         break;
-    case Do::Deliver:
+    case Op::Deliver:
         deliver(*this, action.a, false);
         break;
-    case Do::Twice:
+    case Op::Duplicate:
         deliver(*this, action.a, true);
         break;
-    case Do::Drop:
+    case Op::Drop:
         if (!network.empty())
             network.erase(network.begin() + action.a % network.size());
         break;
-    case Do::Sync:
+    case Op::Sync:
         sync(*this, a);
         break;
-    case Do::Crash:
+    case Op::Crash:
         crash(*this, a, action.b);
         break;
-    case Do::Start:
+    case Op::Start:
         start(*this, a);
         break;
-    case Do::LoseDisk:
+    case Op::LoseDisk:
         loseDisk(*this, a);
         break;
-    case Do::Freeze:
+    case Op::Freeze:
         hosts[a].frozen = hosts[a].up;
         break;
-    case Do::Thaw:
+    case Op::Thaw:
         hosts[a].frozen = false;
         break;
-    case Do::Cut:
+    case Op::CutLink:
         cuts.insert({ a, b });
         break;
-    case Do::Heal:
+    case Op::RestoreLinks:
         cuts.clear();
         break;
-    case Do::Repair:
+    case Op::AddReplica:
         repair(*this, a);
         break;
-    case Do::Remove:
+    case Op::RemoveReplica:
         if (leader() != hosts.size())
-            feed(leader(), RemoveMember { ++lastId, hosts[a].id });
+            stepHost(leader(), RemoveMember { ++lastId, hosts[a].id });
         break;
-    case Do::Compact:
+    case Op::TakeSnapshot:
         if (runs)
-            feed(a, SnapshotTaken { hosts[a].applied, std::make_shared<const std::string>(hosts[a].state) });
+            stepHost(a, SnapshotTaken { hosts[a].applied, std::make_shared<const std::string>(hosts[a].state) });
         break;
-    case Do::Slow:
-        hosts[a].slow = true;
+    case Op::StallDisk:
+        hosts[a].diskStalled = true;
         break;
-    case Do::Fast:
-        hosts[a].slow = false;
+    case Op::ResumeDisk:
+        hosts[a].diskStalled = false;
         break;
-    case Do::Split:
+    case Op::Partition:
         split(*this, action.a);
         break;
-    case Do::Noise:
+    case Op::Noise:
         noise = action.a % 100;
         break;
-    case Do::Strike:
-        hosts[a].strikeAfter = runs ? action.b + 1 : 0;
+    case Op::CrashAfter:
+        hosts[a].crashAfterSteps = runs ? action.b + 1 : 0;
         break;
-    case Do::Outage:
+    case Op::Outage:
         for (size_t n = 0; n < hosts.size(); ++n)
             if (action.a >> n & 1)
                 crash(*this, n, 0);
         break;
-    case Do::Return:
+    case Op::StartAll:
         for (size_t n = 0; n < hosts.size(); ++n)
             start(*this, n);
         break;
-    case Do::Calm:
-        calm();
+    case Op::ClearFaults:
+        clearFaults();
         break;
-    case Do::Count:
+    case Op::Count:
         break;
     }
-    judgeBoots(*this);
+    checkBootAnswers(*this);
 }
 
-// --- The end ---
+// --- Settling ---
 
-static bool whole(const Cluster& c)
+static bool hasExpectedMembers(const Cluster& c)
 {
     const size_t leader = c.leader();
     if (leader == c.hosts.size())
@@ -531,7 +532,7 @@
     return out;
 }
 
-// A host that was taken out for good gets a fresh folder, as an operator would do.
+// A host that was permanently removed gets a newly formatted folder, as an operator would do.
 static void reformatRemoved(Cluster& c)
 {
     const size_t leader = c.leader();
@@ -541,7 +542,7 @@
         const ReplicaId id = c.hosts[n].id;
         if (findMember(latestMembers(c.hosts[leader].replica), id))
             continue;
-        if (!committedMembers(c.hosts[n].replica).list.empty() && lossIsBearable(c, id)) {
+        if (!committedMembers(c.hosts[n].replica).list.empty() && isLossTolerable(c, id)) {
             loseDisk(c, n);
             start(c, n);
         }
@@ -549,38 +550,38 @@
     }
 }
 
-void Cluster::calm()
+void Cluster::clearFaults()
 {
     cuts.clear();
     noise = 0;
     for (size_t n = 0; n < hosts.size(); ++n) {
-        hosts[n].strikeAfter = 0;
+        hosts[n].crashAfterSteps = 0;
         hosts[n].frozen = false;
-        hosts[n].slow = false;
+        hosts[n].diskStalled = false;
         start(*this, n);
     }
 }
 
 void Cluster::settle()
 {
-    calm();
+    clearFaults();
     constexpr uint32_t second = 100;
-    run({ Do::Run, static_cast<uint32_t>(config.electionTimeout.ms * 6 / 10), 0 }); // what was under way ends
-    for (int n = 0; n < 30 && !whole(*this); ++n) {
-        run({ Do::Run, second, 0 });
+    run({ Op::Run, static_cast<uint32_t>(config.electionTimeout.ms * 6 / 10), 0 }); // lets pending operations end
+    for (int n = 0; n < 30 && !hasExpectedMembers(*this); ++n) {
+        run({ Op::Run, second, 0 });
         reformatRemoved(*this);
     }
-    expect(whole(*this), "30 s after the last fault the members are not whole" + describeMembers(*this));
+    expect(hasExpectedMembers(*this), "30 s after the last fault the set of members is not complete" + describeMembers(*this));
     const size_t before = oracle.accepted.size();
     propose(*this, leader());
-    run({ Do::Run, second, 0 });
-    expect(oracle.accepted.size() == before + 1, "a proposal to a healthy cluster is not accepted within a second");
-    expect(oracle.released == oracle.applied.rbegin()->first, "what a healthy cluster accepted is not released within a second");
+    run({ Op::Run, second, 0 });
+    expect(oracle.accepted.size() == before + 1, "a proposal to a healthy cluster was not accepted within 1 s");
+    expect(oracle.released == oracle.applied.rbegin()->first, "an entry accepted by a healthy cluster was not released within 1 s");
     const std::string all = stateAt(oracle, oracle.applied.rbegin()->first);
     for (const Host& it : hosts)
-        expect(it.state == all, "replica " + std::to_string(it.id.value) + " of a healthy cluster has '" + it.state + "' instead of '" + all + "'");
+        expect(it.state == all, "replica " + std::to_string(it.id.value) + " of a healthy cluster has state '" + it.state + "' instead of '" + all + "'");
     for (const auto& [index, data] : oracle.accepted)
-        expect(oracle.applied.at(index).data == data, "something accepted is lost");
+        expect(oracle.applied.at(index).data == data, "an accepted entry is lost");
 }
 
 } // namespace appletally::consensus::testing
--- a/tests/consensus_cluster.h
+++ b/tests/consensus_cluster.h
@@ -1,6 +1,6 @@
-// Several replicas in one process, over a network and disks that do what a test says, and an oracle that judges them.
+// Several replicas in one process over a simulated network and simulated disks, and an oracle that checks invariants.
 //
-// A command is a line of text ("cut 0 1"), so that what the state test shrinks can be pasted into a trace.
+// A command is a line of text ("cut 0 1"), so that a shrunk run of the state test can be pasted into a trace.
 #pragma once
 
 #include "appletally/consensus/released.h"
@@ -13,82 +13,82 @@
 
 namespace appletally::consensus::testing {
 
-enum class Do : uint8_t {
-    Run, // a: time in units of 10 ms, everything delivered and synced as it comes
-    Pass, // a: time in units of 10 ms, nothing delivered nor synced
-    Propose, // a: host; past the last one: the leader
+enum class Op : uint8_t {
+    Run, // a: time in units of 10 ms; messages are delivered and writes synced immediately
+    AdvanceClock, // a: time in units of 10 ms; nothing is delivered or synced
+    Propose, // a: host; beyond the last host: the leader
     Read, // as Propose
-    Deliver, // a: which of the messages on their way
-    Drop, // a: which
-    Twice, // a: which; delivered and still on its way
-    Sync, // a: host's oldest write becomes durable
-    Crash, // a: host, b: how many of its writes reached the disk before
+    Deliver, // a: index of a message in flight
+    Drop, // a: index of a message in flight
+    Duplicate, // a: index of a message in flight; delivered and kept in flight
+    Sync, // a: host; its oldest write becomes durable
+    Crash, // a: host, b: number of its pending writes that reached the disk before
     Start, // a: host
-    LoseDisk, // a: host; refused (then only a crash) where a majority of voters would be lost
+    LoseDisk, // a: host; only a crash where a majority of voters would be lost
     Freeze, // a: host
     Thaw, // a: host
-    Cut, // a: from host, b: to host
-    Heal, // all cuts
-    Repair, // a: host's replica asks to be let in
-    Remove, // a: host's replica is to be taken out
-    Compact, // a: host
-    Slow, // a: host's writes are not durable by themselves any more
-    Fast, // a: ends it
-    Split, // a: hosts by bit, cut off from the others in both directions
-    Noise, // a: per cent of messages lost, kept back or doubled while it runs, and of writes kept back
-    Strike, // a: host, b: it crashes right after so many further steps, with its messages sent and its writes lost
-    Outage, // a: hosts by bit, all crash at once with nothing more on their disks
-    Return, // all start again
-    Calm, // all of these faults end
+    CutLink, // a: from host, b: to host
+    RestoreLinks, // removes all cuts
+    AddReplica, // a: host whose replica requests to be added
+    RemoveReplica, // a: host whose replica is to be removed
+    TakeSnapshot, // a: host whose replica takes a snapshot
+    StallDisk, // a: host; its writes become durable only by Sync
+    ResumeDisk, // a: host; ends StallDisk
+    Partition, // a: bit mask of hosts, cut off from the others in both directions
+    Noise, // a: percentage of messages lost, delayed or duplicated by Run, and of writes delayed
+    CrashAfter, // a: host, b: it crashes after b + 1 further steps, with its messages sent and its pending writes lost
+    Outage, // a: bit mask of hosts; all crash at once and lose their pending writes
+    StartAll, // starts all hosts
+    ClearFaults, // ends all faults
     Count,
 };
 
 struct Action {
-    Do what = Do::Run;
+    Op what = Op::Run;
     uint32_t a = 0;
     uint32_t b = 0;
 };
 
-std::string text(const Action&);
+std::string toString(const Action&);
 Action parseAction(const std::string&);
 
-// A broken invariant.
-struct Broken : std::runtime_error {
+// A violated invariant.
+struct InvariantViolation : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// What one data folder holds. Survives its host's loss of it, so that the oracle can still ask what was recorded.
+// Contents of one data folder. Kept after the host loses it, so that the oracle can still check what was recorded.
 struct Folder {
     Durable durable;
     bool lost = false;
 };
 
-void makeDurable(Durable&, const Persist&); // what a Persist means for a disk, in the plainest way
+void applyPersist(Durable&, const Persist&); // reference implementation of the effect of a Persist on a disk
 
 struct Host {
     ReplicaId id;
     bool up = false;
     bool frozen = false;
-    bool slow = false;
-    uint32_t strikeAfter = 0; // steps; 0: never
-    int64_t clockPercent = 100; // how fast its clock runs
+    bool diskStalled = false;
+    uint32_t crashAfterSteps = 0; // in steps; 0: never
+    int64_t clockPercent = 100; // speed of its clock
     Replica replica;
     std::vector<Persist> writes; // not durable yet
-    std::string state; // the state machine: all data applied, each followed by a blank
+    std::string state; // the state machine: all applied data, each followed by a space
     LogIndex applied;
 };
 
-struct OnItsWay {
+struct InFlightMessage {
     Message message;
-    size_t to = 0; // host
+    size_t to = 0; // host index
 };
 
-// The plain list that all replicas must agree with.
+// The expected history that all replicas must agree with.
 struct Oracle {
-    std::map<LogIndex, Entry> applied; // first seen at any host
-    std::map<LogIndex, std::string> accepted; // answered as accepted
-    std::map<uint64_t, std::string> proposed; // by id, not answered yet
-    std::map<uint64_t, LogIndex> reads; // by id: the last index accepted before it was asked
+    std::map<LogIndex, Entry> applied; // by the first host that applied it
+    std::map<LogIndex, std::string> accepted; // reported as accepted
+    std::map<uint64_t, std::string> proposed; // by id, without a result yet
+    std::map<uint64_t, LogIndex> reads; // by id: the last index accepted before the read was requested
     std::map<Term, ReplicaId> leaders;
     LogIndex released;
     uint64_t readsAnswered = 0;
@@ -96,7 +96,7 @@
 };
 
 struct Cluster {
-    // Hosts beyond the first `mostVoters` start without a vote; 0: all vote.
+    // Hosts beyond the first `maxVoters` start as non-voters; 0: all are voters.
     explicit Cluster(size_t hostCount, uint64_t seed = 1, base::Duration electionTimeout = { 500 }, bool oneReplicaPerHost = false, size_t maxVoters = 0);
 
     Config config;
@@ -105,20 +105,20 @@
     std::vector<Host> hosts;
     std::map<ReplicaId, Folder> folders;
     std::map<ReplicaId, size_t> hostOf;
-    std::vector<OnItsWay> network;
+    std::vector<InFlightMessage> network;
     std::set<std::pair<size_t, size_t>> cuts;
     Oracle oracle;
     uint64_t lastId = 0;
     uint64_t steps = 0;
-    uint32_t noise = 0; // per cent
+    uint32_t noise = 0; // in percent
 
     void run(const Action&);
-    void feed(size_t host, Input);
-    size_t leader() const; // the up, thawed host that leads in the highest term; hosts.size(): none
-    void calm(); // ends all faults
-    void wipe(size_t host); // its disk is lost for good, also where a majority goes with it; the host is down
-    size_t addHost(); // down, with an empty folder that nobody has let in
-    void settle(); // calm, then runs until everyone has applied a fresh proposal, and compares
+    void stepHost(size_t host, Input);
+    size_t leader() const; // the running host that leads in the highest term; hosts.size(): none
+    void clearFaults(); // ends all faults
+    void replaceDisk(size_t host); // loses its disk permanently, even if a majority is lost with it; the host is down afterwards
+    size_t addHost(); // down, with an empty folder that was not added to the members
+    void settle(); // ends all faults, runs until all hosts have applied a new proposal, and compares their states
 };
 
 } // namespace appletally::consensus::testing
--- a/tests/consensus_fuzz_test.cpp
+++ b/tests/consensus_fuzz_test.cpp
@@ -1,6 +1,6 @@
-// The replicated log under random faults, judged by a plain list of what was accepted.
+// Randomized faults on the replicated log, checked against the expected history by the oracle.
 //
-// Fixed seeds here; under scripts/fuzz (APPLETALLY_FUZZ is set) those of RC_PARAMS.
+// Uses fixed seeds; under scripts/fuzz (APPLETALLY_FUZZ is set) the seeds of RC_PARAMS.
 #include "consensus_cluster.h"
 
 #include <catch2/catch.hpp>
@@ -12,89 +12,89 @@
 using namespace appletally::consensus;
 using namespace appletally::consensus::testing;
 
-// Only what makes commands worth trying: which hosts are down or frozen.
-struct Known {
+// Only what decides whether a command is useful: which hosts are down or frozen.
+struct ModelState {
     uint32_t hosts = 0;
     std::set<uint32_t> down;
     std::set<uint32_t> frozen;
 };
 
-struct Step : rc::state::Command<Known, Cluster> {
+struct ClusterCommand : rc::state::Command<ModelState, Cluster> {
     Action action;
 
-    explicit Step(Action it)
+    explicit ClusterCommand(Action it)
         : action(it)
     {
     }
-    void checkPreconditions(const Known& known) const override
+    void checkPreconditions(const ModelState& known) const override
     {
         const bool down = known.down.contains(action.a);
-        if (action.what == Do::Start)
+        if (action.what == Op::Start)
             RC_PRE(down);
-        if (action.what == Do::Crash || action.what == Do::Freeze)
+        if (action.what == Op::Crash || action.what == Op::Freeze)
             RC_PRE(!down);
-        if (action.what == Do::Thaw)
+        if (action.what == Op::Thaw)
             RC_PRE(known.frozen.contains(action.a));
     }
-    void apply(Known& known) const override
+    void apply(ModelState& known) const override
     {
-        if (action.what == Do::Crash || action.what == Do::LoseDisk) {
+        if (action.what == Op::Crash || action.what == Op::LoseDisk) {
             known.down.insert(action.a);
             known.frozen.erase(action.a);
         }
-        if (action.what == Do::Start)
+        if (action.what == Op::Start)
             known.down.erase(action.a);
-        if (action.what == Do::Return || action.what == Do::Calm)
+        if (action.what == Op::StartAll || action.what == Op::ClearFaults)
             known.down.clear();
-        if (action.what == Do::Freeze)
+        if (action.what == Op::Freeze)
             known.frozen.insert(action.a);
-        if (action.what == Do::Thaw)
+        if (action.what == Op::Thaw)
             known.frozen.erase(action.a);
-        if (action.what == Do::Calm)
+        if (action.what == Op::ClearFaults)
             known.frozen.clear();
     }
-    void run(const Known&, Cluster& cluster) const override { cluster.run(action); }
-    void show(std::ostream& out) const override { out << text(action); }
+    void run(const ModelState&, Cluster& cluster) const override { cluster.run(action); }
+    void show(std::ostream& out) const override { out << toString(action); }
 };
 
-static uint32_t numbersOf(Do what, uint32_t hosts)
+static uint32_t argumentLimit(Op what, uint32_t hosts)
 {
     switch (what) {
-    case Do::Run:
-    case Do::Pass:
-        return 60; // up to four election timeouts, so that leaders change in the middle of things
-    case Do::Deliver:
-    case Do::Drop:
-    case Do::Twice:
+    case Op::Run:
+    case Op::AdvanceClock:
+        return 60; // up to four election timeouts, so that leaders change during other operations
+    case Op::Deliver:
+    case Op::Drop:
+    case Op::Duplicate:
         return 12;
-    case Do::Split:
-    case Do::Outage:
+    case Op::Partition:
+    case Op::Outage:
         return 1U << hosts;
-    case Do::Noise:
+    case Op::Noise:
         return 50;
-    case Do::Propose:
-    case Do::Read:
+    case Op::Propose:
+    case Op::Read:
         return 3 * hosts; // mostly to the leader
     default:
         return hosts;
     }
 }
 
-static rc::Gen<std::shared_ptr<const rc::state::Command<Known, Cluster>>> anyStep(const Known& known)
+static rc::Gen<std::shared_ptr<const rc::state::Command<ModelState, Cluster>>> anyCommand(const ModelState& known)
 {
     const uint32_t hosts = known.hosts;
-    const auto what = rc::gen::weightedElement<Do>({ { 70, Do::Run }, { 4, Do::Pass }, { 60, Do::Propose }, { 8, Do::Read },
-        { 16, Do::Deliver }, { 4, Do::Drop }, { 3, Do::Twice }, { 8, Do::Sync }, { 3, Do::Crash }, { 6, Do::Start },
-        { 3, Do::LoseDisk }, { 3, Do::Freeze }, { 4, Do::Thaw }, { 4, Do::Cut }, { 6, Do::Heal }, { 8, Do::Repair }, { 2, Do::Remove },
-        { 4, Do::Compact }, { 4, Do::Slow }, { 5, Do::Fast }, { 5, Do::Split }, { 2, Do::Outage }, { 12, Do::Return }, { 6, Do::Noise },
-        { 6, Do::Strike }, { 12, Do::Calm } });
-    const auto action = rc::gen::mapcat(what, [hosts](Do it) {
-        const uint32_t limit = numbersOf(it, hosts);
-        // Numbers of the whole range in short runs too.
+    const auto what = rc::gen::weightedElement<Op>({ { 70, Op::Run }, { 4, Op::AdvanceClock }, { 60, Op::Propose }, { 8, Op::Read },
+        { 16, Op::Deliver }, { 4, Op::Drop }, { 3, Op::Duplicate }, { 8, Op::Sync }, { 3, Op::Crash }, { 6, Op::Start },
+        { 3, Op::LoseDisk }, { 3, Op::Freeze }, { 4, Op::Thaw }, { 4, Op::CutLink }, { 6, Op::RestoreLinks }, { 8, Op::AddReplica }, { 2, Op::RemoveReplica },
+        { 4, Op::TakeSnapshot }, { 4, Op::StallDisk }, { 5, Op::ResumeDisk }, { 5, Op::Partition }, { 2, Op::Outage }, { 12, Op::StartAll }, { 6, Op::Noise },
+        { 6, Op::CrashAfter }, { 12, Op::ClearFaults } });
+    const auto action = rc::gen::mapcat(what, [hosts](Op it) {
+        const uint32_t limit = argumentLimit(it, hosts);
+        // The whole range of arguments in short runs too.
         const auto upTo = [](uint32_t n) { return rc::gen::resize(rc::kNominalSize, rc::gen::inRange<uint32_t>(0, n)); };
-        return rc::gen::construct<Action>(rc::gen::just(it), upTo(limit), upTo(it == Do::Strike ? 40 : hosts));
+        return rc::gen::construct<Action>(rc::gen::just(it), upTo(limit), upTo(it == Op::CrashAfter ? 40 : hosts));
     });
-    return rc::gen::map(action, [](Action it) -> std::shared_ptr<const rc::state::Command<Known, Cluster>> { return std::make_shared<Step>(it); });
+    return rc::gen::map(action, [](Action it) -> std::shared_ptr<const rc::state::Command<ModelState, Cluster>> { return std::make_shared<ClusterCommand>(it); });
 }
 
 static uint64_t stepsTaken = 0;
@@ -105,10 +105,10 @@
     const auto seed = *rc::gen::arbitrary<uint64_t>();
     Cluster cluster(hosts, seed, { 150 }, oneReplicaPerHost, maxVoters);
     try {
-        cluster.run({ Do::Run, 40, 0 }); // a leader to begin with
-        rc::state::check(Known { hosts, {}, {} }, cluster, anyStep);
+        cluster.run({ Op::Run, 40, 0 }); // starts with a leader
+        rc::state::check(ModelState { hosts, {}, {} }, cluster, anyCommand);
         cluster.settle();
-    } catch (const Broken& it) {
+    } catch (const InvariantViolation& it) {
         RC_FAIL(it.what());
     }
     stepsTaken += cluster.steps;
@@ -125,10 +125,10 @@
     CHECK(result.template is<rc::detail::SuccessResult>());
 }
 
-TEST_CASE("whatever fails, replicas agree, nothing accepted is lost, and progress returns", "[consensus][fuzz]")
+TEST_CASE("under any sequence of faults replicas agree, accepted entries are kept, and progress resumes", "[consensus][fuzz]")
 {
-    // Crashes, lost disks, frozen processes, cuts and messages that cross come in any order while operators submit and
-    // read. A user would notice a version that was accepted and is gone, or two nodes that enforce different ones.
+    // Guards against accepted versions that are lost and nodes that apply different versions. Crashes, lost disks,
+    // frozen processes, partitions and reordered messages occur in any order while operators submit and read.
     if (std::getenv("APPLETALLY_FUZZ")) {
         check(rc::detail::configuration().testParams, false);
         check(rc::detail::configuration().testParams, true);
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -1,4 +1,4 @@
-// Hand-made cases of the replicated log, each for a fault that users know, and the recorded traces.
+// Scenarios of the replicated log, each for one fault, on the simulated cluster.
 #include "consensus_cluster.h"
 
 #include <algorithm>
@@ -11,30 +11,30 @@
 
 static constexpr uint32_t second = 100; // in the units of Run
 
-static void run(Cluster& c, uint32_t units) { c.run({ Do::Run, units, 0 }); }
+static void run(Cluster& c, uint32_t units) { c.run({ Op::Run, units, 0 }); }
 static uint32_t bit(size_t host) { return 1U << host; }
 static Replica& replica(Cluster& c, size_t host) { return c.hosts[host].replica; }
 
-// Message by message, every disk fast, until it holds; false: not within two minutes.
+// Delivers message by message, with all disks fast, until the condition holds; false: not within two minutes.
 static bool runUntil(Cluster& c, const std::function<bool()>& holds)
 {
     for (int n = 0; n < 12000; ++n) {
-        c.run({ Do::Pass, 1, 0 });
+        c.run({ Op::AdvanceClock, 1, 0 });
         for (int k = 0; k < 200; ++k) {
             if (holds())
                 return true;
             for (uint32_t host = 0; host < c.hosts.size(); ++host)
-                while (!c.hosts[host].writes.empty() && c.hosts[host].up && !c.hosts[host].frozen && !c.hosts[host].slow)
-                    c.run({ Do::Sync, host, 0 });
+                while (!c.hosts[host].writes.empty() && c.hosts[host].up && !c.hosts[host].frozen && !c.hosts[host].diskStalled)
+                    c.run({ Op::Sync, host, 0 });
             if (c.network.empty())
                 break;
-            c.run({ Do::Deliver, 0, 0 });
+            c.run({ Op::Deliver, 0, 0 });
         }
     }
     return false;
 }
 
-static size_t lead(Cluster& c)
+static size_t electLeader(Cluster& c)
 {
     REQUIRE(runUntil(c, [&] { return c.leader() != c.hosts.size(); }));
     run(c, second);
@@ -50,44 +50,44 @@
     return n;
 }
 
-static void propose(Cluster& c, size_t host) { c.run({ Do::Propose, static_cast<uint32_t>(host), 0 }); }
-static void act(Cluster& c, Do what, size_t host) { c.run({ what, static_cast<uint32_t>(host), 0 }); }
+static void propose(Cluster& c, size_t host) { c.run({ Op::Propose, static_cast<uint32_t>(host), 0 }); }
+static void runOn(Cluster& c, Op what, size_t host) { c.run({ what, static_cast<uint32_t>(host), 0 }); }
 
-TEST_CASE("a second host lost at any moment of a repair or right after it takes nothing with it", "[consensus]")
+TEST_CASE("a second host lost at any time during or right after a repair loses no accepted entry", "[consensus]")
 {
-    // A voter's disk dies and its host is set up anew; while it catches up, or just when it is done, the leader's host
-    // dies too. Operators would find that versions reported as accepted never were.
+    // Guards against a repair that loses accepted versions. A voter's disk is lost and its host is formatted again;
+    // while the new replica catches up, or just after, the leader's host fails too.
     for (uint32_t delay = 0; delay < 60; ++delay) {
         CAPTURE(delay);
         Cluster c(3, delay + 10);
-        const size_t first = lead(c);
+        const size_t first = electLeader(c);
         for (int n = 0; n < 5; ++n)
             propose(c, first);
         run(c, 20);
         const size_t accepted = c.oracle.accepted.size();
         REQUIRE(accepted == 5);
         const size_t lost = other(c, { first });
-        act(c, Do::LoseDisk, lost);
-        act(c, Do::Start, lost);
-        act(c, Do::Repair, lost);
+        runOn(c, Op::LoseDisk, lost);
+        runOn(c, Op::Start, lost);
+        runOn(c, Op::AddReplica, lost);
         run(c, delay);
         const ReplicaId leaderId = c.hosts[first].id;
-        act(c, Do::LoseDisk, first); // only a crash while a majority would be gone
+        runOn(c, Op::LoseDisk, first); // only a crash while a majority would be lost
         if (delay > 40)
             CHECK(c.folders.at(leaderId).lost);
-        act(c, Do::Start, first);
+        runOn(c, Op::Start, first);
         CHECK_NOTHROW(c.settle());
         CHECK(c.oracle.accepted.size() == accepted + 1);
     }
 }
 
-TEST_CASE("a leader cut off in silence for long stops leading at once and comes back without harm", "[consensus]")
+TEST_CASE("a leader behind a silent partition steps down and returns without disruption", "[consensus]")
 {
-    // A partition swallows every packet of the leading host and reports nothing. Operators who reach it would wait on a
-    // leader that can accept nothing; and when it heals, its high term would depose the healthy leader.
+    // Guards against a leader that keeps accepting proposals while a partition silently drops all its packets, and
+    // against its term deposing the healthy leader when the partition heals.
     Cluster c(3, 1);
-    const size_t old = lead(c);
-    c.run({ Do::Split, bit(old), 0 });
+    const size_t old = electLeader(c);
+    c.run({ Op::Partition, bit(old), 0 });
     propose(c, old);
     run(c, 60);
     CHECK_FALSE(isLeader(replica(c, old)));
@@ -99,46 +99,46 @@
     run(c, 60 * second);
     CHECK(c.oracle.accepted.size() == 1);
     const Term term = replica(c, fresh).state.term;
-    act(c, Do::Heal, 0);
+    runOn(c, Op::RestoreLinks, 0);
     run(c, 2 * second);
     CHECK(c.leader() == fresh);
     CHECK(replica(c, fresh).state.term == term);
     CHECK_NOTHROW(c.settle());
 }
 
-TEST_CASE("a cut in one direction neither stops the log nor unseats a healthy leader", "[consensus]")
+TEST_CASE("a cut in one direction neither stops the log nor deposes a healthy leader", "[consensus]")
 {
-    // A broken rule in a switch lets packets through one way only. A voter that hears nobody would call for elections
-    // again and again, and a leader that hears nobody would keep the others quiet with its heartbeats for ever.
-    SECTION("a follower that hears nobody")
+    // Guards against repeated elections by a voter that receives nothing, and against a leader that receives nothing
+    // but suppresses elections with its heartbeats. A faulty switch rule passes packets in one direction only.
+    SECTION("a follower that receives nothing")
     {
         Cluster c(3, 1);
-        const size_t leader = lead(c);
+        const size_t leader = electLeader(c);
         const Term term = replica(c, leader).state.term;
-        const size_t deaf = other(c, { leader });
+        const size_t unresponsive = other(c, { leader });
         for (uint32_t n = 0; n < 3; ++n)
-            c.run({ Do::Cut, n, static_cast<uint32_t>(deaf) });
+            c.run({ Op::CutLink, n, static_cast<uint32_t>(unresponsive) });
         run(c, 10 * second);
         CHECK(c.leader() == leader);
         CHECK(replica(c, leader).state.term == term);
         CHECK_NOTHROW(c.settle());
     }
-    SECTION("a follower that hears all but the leader")
+    SECTION("a follower that receives nothing from the leader")
     {
         Cluster c(3, 1);
-        const size_t leader = lead(c);
+        const size_t leader = electLeader(c);
         const Term term = replica(c, leader).state.term;
-        c.run({ Do::Cut, static_cast<uint32_t>(leader), static_cast<uint32_t>(other(c, { leader })) });
+        c.run({ Op::CutLink, static_cast<uint32_t>(leader), static_cast<uint32_t>(other(c, { leader })) });
         run(c, 10 * second);
         CHECK(c.leader() == leader);
         CHECK(replica(c, leader).state.term == term);
     }
-    SECTION("a leader that hears nobody")
+    SECTION("a leader that receives nothing")
     {
         Cluster c(3, 1);
-        const size_t leader = lead(c);
+        const size_t leader = electLeader(c);
         for (uint32_t n = 0; n < 3; ++n)
-            c.run({ Do::Cut, n, static_cast<uint32_t>(leader) });
+            c.run({ Op::CutLink, n, static_cast<uint32_t>(leader) });
         run(c, 5 * second);
         REQUIRE(c.leader() != c.hosts.size());
         CHECK(c.leader() != leader);
@@ -148,13 +148,13 @@
     }
 }
 
-TEST_CASE("a frozen leader that thaws takes no proposal and answers no read from before", "[consensus]")
+TEST_CASE("a leader that was frozen accepts no proposal and answers no read after it resumes", "[consensus]")
 {
-    // The leading host is stopped for seconds (SIGSTOP, a virtual machine that moves) and goes on as if no time had
-    // passed. A read answered then would show an operator a state without what was accepted meanwhile.
+    // Guards against a stale read. The leader's process is stopped for seconds (SIGSTOP, migration of a virtual
+    // machine) and continues as if no time had passed, while another leader has accepted entries.
     Cluster c(3, 1);
-    const size_t old = lead(c);
-    act(c, Do::Freeze, old);
+    const size_t old = electLeader(c);
+    runOn(c, Op::Freeze, old);
     run(c, 3 * second);
     const size_t fresh = c.leader();
     REQUIRE(fresh != c.hosts.size());
@@ -162,8 +162,8 @@
     run(c, 20);
     REQUIRE(c.oracle.accepted.size() == 1);
     c.network.clear();
-    act(c, Do::Thaw, old);
-    act(c, Do::Read, old);
+    runOn(c, Op::Thaw, old);
+    runOn(c, Op::Read, old);
     CHECK_FALSE(isLeader(replica(c, old)));
     propose(c, old);
     run(c, second);
@@ -174,13 +174,13 @@
 
 TEST_CASE("a cut-off leader with a slow clock answers no read", "[consensus]")
 {
-    // Its lease runs long by a bad clock while the others have elected and accepted; only a round of answers that began
-    // after the read shows that it still leads.
+    // Guards against a stale read under an overlong lease. The leader's clock is slow while the others elect a leader
+    // and accept entries; only a round of responses started after the read proves that it still leads.
     Cluster c(3, 1);
-    const size_t old = lead(c);
+    const size_t old = electLeader(c);
     c.hosts[old].clockPercent = 100;
-    c.run({ Do::Split, bit(old), 0 });
-    c.hosts[old].frozen = true; // stands for a clock that stands still
+    c.run({ Op::Partition, bit(old), 0 });
+    c.hosts[old].frozen = true; // simulates a stopped clock
     run(c, 2 * second);
     const size_t fresh = c.leader();
     propose(c, fresh);
@@ -189,160 +189,163 @@
     c.hosts[old].frozen = false;
     c.hosts[old].clockPercent = 0;
     for (auto& [id, progress] : replica(c, old).progress)
-        progress.heard = {};
+        progress.lastContact = {};
     REQUIRE(isLeader(replica(c, old)));
-    act(c, Do::Read, old);
+    runOn(c, Op::Read, old);
     CHECK(isLeader(replica(c, old)));
     CHECK(c.oracle.readsAnswered == 0);
 }
 
-TEST_CASE("a new leader answers no read before it knows what was accepted under the old one", "[consensus]")
+TEST_CASE("a new leader answers no read before it knows what was accepted under the previous one", "[consensus]")
 {
-    // The old leader reported a version as accepted and was cut off before it could say so to the others. The next
-    // leader has it in its log but does not know that it counts.
+    // Guards against a read that misses an accepted entry. The previous leader reported it as accepted and was cut off
+    // before it sent the commit; the new leader has the entry but does not know that it is committed.
     Cluster c(3, 1);
-    const size_t old = lead(c);
+    const size_t old = electLeader(c);
     const size_t cut = other(c, { old });
-    c.run({ Do::Split, bit(cut), 0 });
+    c.run({ Op::Partition, bit(cut), 0 });
     propose(c, old);
     REQUIRE(runUntil(c, [&] { return c.oracle.accepted.size() == 1; }));
     c.network.clear();
-    act(c, Do::Heal, 0);
-    c.run({ Do::Split, bit(old), 0 });
+    runOn(c, Op::RestoreLinks, 0);
+    c.run({ Op::Partition, bit(old), 0 });
     REQUIRE(runUntil(c, [&] { return c.leader() != old && c.leader() != c.hosts.size(); }));
     c.network.clear(); // its first entry is lost, its heartbeats are not
-    act(c, Do::Read, c.leader());
-    CHECK(runUntil(c, [&] { return c.oracle.readsAnswered == 1; })); // judged by the oracle
+    runOn(c, Op::Read, c.leader());
+    CHECK(runUntil(c, [&] { return c.oracle.readsAnswered == 1; })); // checked by the oracle
 }
 
-TEST_CASE("an entry of an older term on a majority is not yet accepted", "[consensus]")
+TEST_CASE("an entry of an older term on a majority is not accepted yet", "[consensus]")
 {
-    // A leader comes back, spreads an old entry to a majority and dies; another that never saw it wins and replaces it.
-    // Counted as accepted in between, it would be in force on some nodes and vanish.
+    // Guards against a commit that is lost again. A returning leader replicates an old entry to a majority and crashes;
+    // a leader that does not have the entry wins and replaces it. Counted as accepted in between, it would have been
+    // applied by some nodes.
     Cluster c(5, 1);
-    const size_t a = lead(c);
+    const size_t a = electLeader(c);
     const size_t b = other(c, { a });
-    c.run({ Do::Split, bit(a) | bit(b), 0 });
+    c.run({ Op::Partition, bit(a) | bit(b), 0 });
     propose(c, a);
     const LogIndex index = lastIndex(replica(c, a));
     REQUIRE(runUntil(c, [&] { return lastIndex(replica(c, b)) == index && c.hosts[a].writes.empty() && c.hosts[b].writes.empty(); }));
-    act(c, Do::Crash, a);
-    act(c, Do::Crash, b);
-    act(c, Do::Heal, 0);
+    runOn(c, Op::Crash, a);
+    runOn(c, Op::Crash, b);
+    runOn(c, Op::RestoreLinks, 0);
 
     // One of the others wins, and its first entry reaches only its own disk.
     REQUIRE(runUntil(c, [&] { return c.leader() != c.hosts.size(); }));
     const size_t e = c.leader();
     c.network.clear();
     while (!c.hosts[e].writes.empty())
-        act(c, Do::Sync, e);
-    act(c, Do::Crash, e);
+        runOn(c, Op::Sync, e);
+    runOn(c, Op::Crash, e);
     c.network.clear();
 
-    // The first leader or its companion is back and spreads the entry to a third host.
+    // The first leader or the other crashed host returns and replicates the entry to a third host.
     const size_t third = other(c, { a, b, e });
     const size_t fourth = other(c, { a, b, e, third });
-    act(c, Do::Crash, fourth);
-    act(c, Do::Start, a);
-    act(c, Do::Start, b);
+    runOn(c, Op::Crash, fourth);
+    runOn(c, Op::Start, a);
+    runOn(c, Op::Start, b);
     REQUIRE(runUntil(c, [&] { return c.leader() != c.hosts.size(); }));
     const size_t back = c.leader();
     const LogIndex start = replica(c, back).termStart;
     REQUIRE(runUntil(c, [&] {
         const auto it = replica(c, back).progress.find(c.hosts[third].id);
-        return it != replica(c, back).progress.end() && it->second.match >= index && it->second.match < start;
+        return it != replica(c, back).progress.end() && it->second.matchIndex >= index && it->second.matchIndex < start;
     }));
     CHECK(replica(c, back).commit < index);
-    act(c, Do::Crash, a);
-    act(c, Do::Crash, b);
+    runOn(c, Op::Crash, a);
+    runOn(c, Op::Crash, b);
     c.network.clear();
-    act(c, Do::Start, fourth);
-    act(c, Do::Start, e);
+    runOn(c, Op::Start, fourth);
+    runOn(c, Op::Start, e);
     run(c, 10 * second);
     CHECK_NOTHROW(c.settle());
 }
 
-TEST_CASE("a change of members waits until the one before is recorded as committed by a majority", "[consensus]")
+TEST_CASE("a change of members waits until the previous one is recorded as committed by a majority", "[consensus]")
 {
-    // Two voters are taken out one after the other while one of them has not heard that the first removal counts. A node
-    // that boots and asks them and a stale third would be told a version below what others already enforce.
+    // Guards against a booting node that starts below a released version. Two voters are removed in succession, one of
+    // them before it learns that the first removal is committed, and a node boots from the answers of both and a stale
+    // third voter.
     Cluster c(5, 1);
-    const size_t leader = lead(c);
+    const size_t leader = electLeader(c);
     const size_t a = other(c, { leader });
     const size_t e = other(c, { leader, a });
     const size_t b = other(c, { leader, a, e });
-    c.run({ Do::Split, bit(a) | bit(e), 0 });
-    act(c, Do::Remove, a);
+    c.run({ Op::Partition, bit(a) | bit(e), 0 });
+    runOn(c, Op::RemoveReplica, a);
     REQUIRE(runUntil(c, [&] { return latestMembers(replica(c, b)).index.value > 0; }));
     const LogIndex change = latestMembers(replica(c, b)).index;
-    c.run({ Do::Sync, static_cast<uint32_t>(b), 0 });
+    c.run({ Op::Sync, static_cast<uint32_t>(b), 0 });
     for (uint32_t n = 0; n < 5; ++n)
-        c.run({ Do::Cut, n, static_cast<uint32_t>(b) }); // its answer is on its way, it hears nothing more
+        c.run({ Op::CutLink, n, static_cast<uint32_t>(b) }); // its response is in flight, it receives nothing more
     REQUIRE(runUntil(c, [&] { return replica(c, leader).commit >= change; }));
-    act(c, Do::Remove, b);
+    runOn(c, Op::RemoveReplica, b);
     propose(c, leader);
-    run(c, 30); // judged by the oracle
+    run(c, 30); // checked by the oracle
     CHECK(latestMembers(replica(c, leader)).index == change);
     CHECK_NOTHROW(c.settle());
 }
 
-TEST_CASE("two leaders never change the same members at once", "[consensus]")
+TEST_CASE("two leaders never change the same members concurrently", "[consensus]")
 {
-    // A leader begins to take one voter out and is cut off; the next one, before anything of its own is accepted, begins
-    // to take out another. Of three voters each, two may then agree without the other two.
+    // Guards against majorities that share no replica. A leader starts to remove one of four voters and is cut off; the
+    // next leader starts to remove another before an entry of its own is committed. Two of the three voters of each set
+    // could then agree independently.
     Cluster c(4, 1);
-    const size_t old = lead(c);
+    const size_t old = electLeader(c);
     const size_t out = other(c, { old });
-    act(c, Do::Remove, out);
+    runOn(c, Op::RemoveReplica, out);
     REQUIRE(runUntil(c, [&] { return latestMembers(replica(c, old)).index.value > 0; }));
-    act(c, Do::Sync, old);
+    runOn(c, Op::Sync, old);
     c.network.clear();
-    c.run({ Do::Split, bit(old), 0 });
+    c.run({ Op::Partition, bit(old), 0 });
     REQUIRE(runUntil(c, [&] { return c.leader() != old && c.leader() != c.hosts.size(); }));
     const size_t fresh = c.leader();
     c.network.clear();
-    act(c, Do::Heal, 0);
-    c.run({ Do::Split, bit(old) | bit(other(c, { old, out, fresh })), 0 });
-    act(c, Do::Remove, old);
+    runOn(c, Op::RestoreLinks, 0);
+    c.run({ Op::Partition, bit(old) | bit(other(c, { old, out, fresh })), 0 });
+    runOn(c, Op::RemoveReplica, old);
     run(c, 20);
     propose(c, fresh);
-    run(c, 5 * second); // judged by the oracle
+    run(c, 5 * second); // checked by the oracle
     CHECK_NOTHROW(c.settle());
 }
 
-TEST_CASE("a lost disk's host is let in only once it has caught up, without being asked to", "[consensus]")
+TEST_CASE("the new replica of a host that lost its disk becomes a voter by itself, but only once it has caught up", "[consensus]")
 {
     Cluster c(3, 1);
-    const size_t leader = lead(c);
+    const size_t leader = electLeader(c);
     const size_t lost = other(c, { leader });
-    act(c, Do::LoseDisk, lost);
-    act(c, Do::Start, lost);
-    c.run({ Do::Cut, static_cast<uint32_t>(leader), static_cast<uint32_t>(lost) });
-    act(c, Do::Repair, lost);
+    runOn(c, Op::LoseDisk, lost);
+    runOn(c, Op::Start, lost);
+    c.run({ Op::CutLink, static_cast<uint32_t>(leader), static_cast<uint32_t>(lost) });
+    runOn(c, Op::AddReplica, lost);
     run(c, 10 * second);
     const ReplicaId id = c.hosts[lost].id;
     CHECK(findMember(latestMembers(replica(c, leader)), id)->role == Role::Joining);
     CHECK_FALSE(bootAnswer(replica(c, lost)));
-    act(c, Do::Heal, 0);
+    runOn(c, Op::RestoreLinks, 0);
     run(c, second);
     CHECK(findMember(latestMembers(replica(c, leader)), id)->role == Role::Voter);
-    CHECK(latestMembers(replica(c, leader)).list.size() == 3); // the lost one is out
+    CHECK(latestMembers(replica(c, leader)).list.size() == 3); // the lost replica is removed
     CHECK(bootAnswer(replica(c, lost)));
 }
 
-TEST_CASE("a voter whose disk hangs counts for nothing", "[consensus]")
+TEST_CASE("a voter whose disk hangs is not counted", "[consensus]")
 {
-    // The disk of one host stops finishing its writes. What only its memory holds is gone with the next power cut.
+    // Guards against counting what is only in memory: a power failure would lose it.
     SECTION("a leader does not count itself")
     {
         Cluster c(3, 1);
-        const size_t leader = lead(c);
-        c.run({ Do::Split, bit(other(c, { leader })), 0 });
-        act(c, Do::Slow, leader);
+        const size_t leader = electLeader(c);
+        c.run({ Op::Partition, bit(other(c, { leader })), 0 });
+        runOn(c, Op::StallDisk, leader);
         propose(c, leader);
         run(c, 20);
         CHECK(c.oracle.accepted.empty());
-        act(c, Do::Fast, leader);
+        runOn(c, Op::ResumeDisk, leader);
         run(c, 20);
         CHECK(c.oracle.accepted.size() == 1);
     }
@@ -354,62 +357,64 @@
         size_t candidate = 0;
         while (!isCandidate(candidate))
             ++candidate;
-        act(c, Do::Slow, candidate);
+        runOn(c, Op::StallDisk, candidate);
         REQUIRE(runUntil(c, [&] { return c.leader() != c.hosts.size(); }));
         CHECK(c.leader() != candidate);
     }
 }
 
-TEST_CASE("a promise leaves a replica only once it is on the disk", "[consensus]")
+TEST_CASE("a vote, response or recorded commit is sent only once it is durable", "[consensus]")
 {
-    // The power goes between an answer and the write behind it. A vote given twice in a term makes two leaders; an entry
-    // counted on this replica and gone takes an accepted version with it.
+    // Guards against a power failure between a response and the write behind it. A vote given twice in a term makes two
+    // leaders; an entry that was counted on this replica and is then lost loses an accepted version.
     Durable disk;
     disk.id = { 1 };
     disk.snapshot.meta.members.list = { { { 1 }, { "a" }, Role::Voter, {} }, { { 2 }, { "b" }, Role::Voter, {} }, { { 3 }, { "c" }, Role::Voter, {} } };
     Replica r = make(disk, {});
     const base::Time now { 100 };
 
-    Ready ready = step(r, Received { { { 2 }, { 1 }, { 5 }, VoteAsk { false, {}, {} } } }, now, 1);
+    Ready ready = step(r, Received { { { 2 }, { 1 }, { 5 }, VoteRequest { false, {}, {} } } }, now, 1);
     REQUIRE(ready.persist);
     CHECK(ready.messages.empty());
     ready = step(r, Persisted { ready.persist->sequence }, now, 1);
     REQUIRE(ready.messages.size() == 1);
-    CHECK(std::get<VoteAnswer>(ready.messages[0].body).granted);
+    CHECK(std::get<VoteResponse>(ready.messages[0].body).granted);
 
     const Entry entry { { 1 }, { 5 }, EntryKind::Data, "x", {} };
     ready = step(r, Received { { { 2 }, { 1 }, { 5 }, AppendEntries { {}, {}, { entry }, {}, {}, 0 } } }, now, 1);
     REQUIRE(ready.persist);
     CHECK(ready.messages.empty());
     const uint64_t sequence = ready.persist->sequence;
-    // Told twice, the second answer waits for the same write.
+    // Received again, the second response waits for the same write.
     ready = step(r, Received { { { 2 }, { 1 }, { 5 }, AppendEntries { {}, {}, { entry }, {}, {}, 0 } } }, now, 1);
     CHECK(ready.messages.empty());
     ready = step(r, Persisted { sequence }, now, 1);
     REQUIRE(ready.messages.size() == 2);
-    CHECK(std::get<AppendAnswer>(ready.messages[0].body).index == LogIndex { 1 });
+    CHECK(std::get<AppendResponse>(ready.messages[0].body).index == LogIndex { 1 });
 
-    // The commit that it learns is promised too: nodes start no lower because a majority has recorded it.
+    // The commit is recorded before it is reported: nodes rely on a majority's recorded commits for the minimum version
+    // at boot.
     ready = step(r, Received { { { 2 }, { 1 }, { 5 }, AppendEntries { { 1 }, { 5 }, {}, { 1 }, {}, 0 } } }, now, 1);
     REQUIRE(ready.persist);
     CHECK(ready.persist->state.commit == LogIndex { 1 });
     CHECK(ready.messages.empty());
     CHECK(bootAnswer(r)->recordedCommit == LogIndex {});
     ready = step(r, Persisted { ready.persist->sequence }, now, 1);
-    CHECK(std::get<AppendAnswer>(ready.messages.at(0).body).recordedCommit == LogIndex { 1 });
+    CHECK(std::get<AppendResponse>(ready.messages.at(0).body).recordedCommit == LogIndex { 1 });
     CHECK(bootAnswer(r)->recordedCommit == LogIndex { 1 });
 
-    // Its own candidacy: forgotten by a crash, it could lead the same term twice.
+    // Its own candidacy: if a crash lost it, the replica could lead the same term twice.
     ready = step(r, Tick {}, { 5000 }, 1);
-    ready = step(r, Received { { { 2 }, { 1 }, { 6 }, VoteAnswer { true, true } } }, { 5000 }, 1);
+    ready = step(r, Received { { { 2 }, { 1 }, { 6 }, VoteResponse { true, true } } }, { 5000 }, 1);
     REQUIRE(r.raftRole == RaftRole::Candidate);
     CHECK(ready.messages.empty());
 }
 
-TEST_CASE("what a new leader's log replaces counts for nothing any more", "[consensus]")
+TEST_CASE("entries replaced by a new leader's log are no longer counted", "[consensus]")
 {
-    // A follower holds entries that were never accepted. The next leader replaces them, by entries or by a snapshot, and
-    // the write that does so is still under way when this replica has to say what it holds.
+    // Guards against counting replaced entries. A follower holds entries that were never accepted; the next leader
+    // replaces them, by entries or by a snapshot, and the replacing write is still pending when this replica reports
+    // what it holds.
     Durable disk;
     disk.id = { 1 };
     disk.snapshot.meta.members.list = { { { 1 }, { "a" }, Role::Voter, {} }, { { 2 }, { "b" }, Role::Voter, {} }, { { 3 }, { "c" }, Role::Voter, {} } };
@@ -424,12 +429,12 @@
     {
         const Entry entry { { 2 }, { 2 }, EntryKind::Data, "new", {} };
         const Ready ready = step(r, Received { { { 2 }, { 1 }, { 2 }, AppendEntries { { 1 }, { 1 }, { entry }, { 2 }, {}, 0 } } }, now, 1);
-        CHECK(ready.persist->cutFrom == LogIndex { 2 });
+        CHECK(ready.persist->truncateFrom == LogIndex { 2 });
         CHECK(lastIndex(r) == LogIndex { 2 });
         CHECK(r.durableIndex == LogIndex { 1 });
         CHECK(ready.committed.size() == 2);
 
-        // A snapshot of it, taken before the record of its commit is durable, hides what was recorded.
+        // A snapshot taken before the record of its commit is durable leaves unknown what was recorded.
         step(r, SnapshotTaken { { 2 }, std::make_shared<const std::string>("state") }, now, 1);
         CHECK_FALSE(bootAnswer(r));
         step(r, Persisted { r.sequence }, now, 1);
@@ -440,94 +445,97 @@
     {
         const SnapshotChunk chunk { { { 2 }, { 2 }, disk.snapshot.meta.members }, 0, 5, "state", 0 };
         const Ready ready = step(r, Received { { { 2 }, { 1 }, { 2 }, chunk } }, now, 1);
-        CHECK(ready.persist->cutFrom == LogIndex { 1 });
+        CHECK(ready.persist->truncateFrom == LogIndex { 1 });
         CHECK(lastIndex(r) == LogIndex { 2 });
         CHECK(r.durableIndex == LogIndex {});
         CHECK(*ready.restore->data == "state");
     }
 }
 
-TEST_CASE("a freshly formatted replica gives no vote and hears nothing meant for the one before", "[consensus]")
+TEST_CASE("a newly formatted replica grants no vote and ignores messages to its predecessor", "[consensus]")
 {
-    // A voter's disk is replaced. The one before may have voted in this term; a vote of the fresh one could make a
-    // second leader, and answers in its place would count for entries that it does not have.
+    // Guards against a second leader, and against counting entries that a replica does not have, after a voter's disk
+    // is replaced. The predecessor may have voted in this term, and its messages still arrive.
     Durable blank;
     blank.id = { 9 };
     Replica r = make(blank, {});
     for (const bool pre : { true, false }) {
-        const VoteAsk ask { pre, { 100 }, { 7 } };
-        const Ready ready = step(r, Received { { { 1 }, { 9 }, { 8 }, ask } }, { 5000 }, 1);
+        const VoteRequest request { pre, { 100 }, { 7 } };
+        const Ready ready = step(r, Received { { { 1 }, { 9 }, { 8 }, request } }, { 5000 }, 1);
         CHECK_FALSE(ready.persist);
         for (const Message& it : ready.messages)
-            CHECK_FALSE(std::get<VoteAnswer>(it.body).granted);
+            CHECK_FALSE(std::get<VoteResponse>(it.body).granted);
     }
     const Ready ready = step(r, Received { { { 1 }, { 3 }, { 8 }, AppendEntries {} } }, { 5000 }, 1);
     CHECK(ready.messages.empty());
     CHECK_FALSE(ready.persist);
 }
 
-TEST_CASE("a leader that dies while a change of members spreads leaves voters that can elect", "[consensus]")
+TEST_CASE("a leader that fails while it replicates a change of members leaves voters that can elect", "[consensus]")
 {
-    // The change stands only in the dead leader's log, which is longer than the others' and which counts other voters.
-    SECTION("a change that takes the leader itself out")
+    // Guards against a member set in which no candidate can win. Only the failed leader's log holds the change; it is
+    // longer than the others' logs and counts other voters.
+    SECTION("a change that removes the leader itself")
     {
         Cluster c(3, 1);
-        const size_t leader = lead(c);
-        act(c, Do::Remove, other(c, { leader }));
+        const size_t leader = electLeader(c);
+        runOn(c, Op::RemoveReplica, other(c, { leader }));
         run(c, second);
         const LogIndex before = latestMembers(replica(c, leader)).index;
         REQUIRE(before.value > 0);
-        act(c, Do::Remove, leader);
+        runOn(c, Op::RemoveReplica, leader);
         REQUIRE(runUntil(c, [&] { return latestMembers(replica(c, leader)).index > before; }));
         c.network.clear();
-        c.run({ Do::Split, bit(leader), 0 });
+        c.run({ Op::Partition, bit(leader), 0 });
         run(c, 2 * second);
-        act(c, Do::Heal, 0);
+        runOn(c, Op::RestoreLinks, 0);
         run(c, 5 * second);
         CHECK(c.leader() != c.hosts.size());
         CHECK_NOTHROW(c.settle());
     }
-    SECTION("a change that lets a repaired host in")
+    SECTION("a change that makes a repaired host's replica a voter")
     {
         Cluster c(3, 1);
-        const size_t leader = lead(c);
+        const size_t leader = electLeader(c);
         const size_t lost = other(c, { leader });
-        act(c, Do::LoseDisk, lost);
-        act(c, Do::Start, lost);
-        act(c, Do::Repair, lost);
+        runOn(c, Op::LoseDisk, lost);
+        runOn(c, Op::Start, lost);
+        runOn(c, Op::AddReplica, lost);
         const ReplicaId id = c.hosts[lost].id;
         REQUIRE(runUntil(c, [&] {
             const Member* it = findMember(latestMembers(replica(c, leader)), id);
             return it && it->role == Role::Voter;
         }));
         c.network.clear();
-        act(c, Do::Sync, leader);
-        act(c, Do::Crash, leader);
-        act(c, Do::Start, leader);
+        runOn(c, Op::Sync, leader);
+        runOn(c, Op::Crash, leader);
+        runOn(c, Op::Start, leader);
         run(c, 10 * second);
         CHECK(c.leader() != c.hosts.size());
         CHECK_NOTHROW(c.settle());
     }
 }
 
-TEST_CASE("a leader whose followers are slow refuses what it could only hoard", "[consensus]")
+TEST_CASE("a leader whose followers are slow limits its uncommitted proposals", "[consensus]")
 {
-    // The disks of the other voters hang while operators go on submitting. Without a bound the leader's memory fills.
+    // Guards against a leader whose memory grows without limit while the disks of the other voters hang and operators
+    // keep submitting.
     Cluster c(3, 1);
-    const size_t leader = lead(c);
-    replica(c, leader).config.pendingEntries = 2;
-    c.run({ Do::Split, bit(leader), 0 });
+    const size_t leader = electLeader(c);
+    replica(c, leader).config.maxPendingEntries = 2;
+    c.run({ Op::Partition, bit(leader), 0 });
     for (int n = 0; n < 4; ++n)
         propose(c, leader);
     CHECK(replica(c, leader).proposals.size() == 2);
-    act(c, Do::Heal, 0);
+    runOn(c, Op::RestoreLinks, 0);
     run(c, 20);
     CHECK(c.oracle.accepted.size() == 2);
 }
 
-TEST_CASE("a booting node believes the newest members that any answer knows", "[consensus]")
+TEST_CASE("a booting node uses the newest members known to any answer", "[consensus]")
 {
-    // Two voters were taken out long ago and were never told; they and a stale third still call themselves a majority.
+    // Guards against a majority of outdated members. Two voters were removed without learning of it; together with a
+    // stale third they still consider themselves a majority.
     const auto voters = [](uint64_t index, std::initializer_list<uint64_t> ids) {
         Members result { { index }, {} };
         for (const uint64_t id : ids)
@@ -553,7 +561,7 @@
     }
 }
 
-TEST_CASE("foreign bytes are no message", "[consensus]")
+TEST_CASE("invalid bytes are rejected when a message is decoded", "[consensus]")
 {
     const Message m { { 1 }, { 2 }, { 3 }, AppendEntries { { 4 }, { 3 }, { { { 5 }, { 3 }, EntryKind::Data, std::string("\0\xff", 2), {} } }, { 4 }, { 3 }, 9 } };
     const std::string whole = encode(m);
@@ -564,7 +572,7 @@
         for (const uint8_t byte : { 0x00, 0x7f, 0xff }) {
             std::string changed = whole;
             changed[n] = static_cast<char>(byte);
-            (void)decode(changed); // anything but a crash
+            (void)decode(changed); // must not crash
         }
     }
 }
--- a/tests/consensus_trace_test.cpp
+++ b/tests/consensus_trace_test.cpp
@@ -1,4 +1,4 @@
-// Recorded traces of the replicated log, replayed against the outcome that each states.
+// Replays recorded traces of the replicated log and checks the outcome that each states.
 #include "consensus_cluster.h"
 
 #include <catch2/catch.hpp>
@@ -9,7 +9,8 @@
 using namespace appletally::consensus;
 using namespace appletally::consensus::testing;
 
-// A trace: "voters N seed S", perhaps "election-timeout MS", commands, "settle", and what must be true then.
+// Format of a trace: "voters N seed S", optionally "election-timeout MS", commands, "settle", then the expected
+// outcome.
 static void replay(const std::filesystem::path& path)
 {
     std::ifstream in(path);
@@ -43,7 +44,7 @@
     REQUIRE(cluster);
 }
 
-TEST_CASE("recorded traces end as they state", "[consensus][trace]")
+TEST_CASE("recorded traces end with their stated outcome", "[consensus][trace]")
 {
     size_t count = 0;
     for (const auto& it : std::filesystem::directory_iterator(std::string(SOURCE_FOLDER) + "/tests/traces")) {
--- a/tests/disk_log_test.cpp
+++ b/tests/disk_log_test.cpp
@@ -1,4 +1,4 @@
-// The data folder under torn writes, flipped bits, a full disk and crashes, on a disk of memory that knows what was
+// The data folder under torn writes, flipped bits, a full disk and crashes, on an in-memory disk that tracks what was
 // synced; one test uses real files.
 #include "appletally/consensus/disk_log.h"
 #include "consensus_cluster.h"
@@ -12,7 +12,7 @@
 using namespace appletally;
 using namespace appletally::consensus;
 
-// Names and bytes; a crash takes both back to what was synced.
+// File names and contents; a crash reverts both to what was synced.
 struct FakeDisk {
     struct File {
         std::string bytes;
@@ -22,13 +22,13 @@
     std::map<std::string, std::shared_ptr<File>> syncedNames;
     std::map<int, std::shared_ptr<File>> open;
     int lastFd = 2;
-    size_t room = SIZE_MAX; // bytes until it is full
+    size_t freeBytes = SIZE_MAX; // free space in bytes
     int fullError = -ENOSPC;
     int syncError = 0;
     size_t calls = 0;
-    size_t dieAfter = SIZE_MAX; // calls; every later one fails
+    size_t failAfterCalls = SIZE_MAX; // number of calls; all later ones fail
 
-    int64_t counted(int64_t result) { return ++calls > dieAfter ? -EIO : result; }
+    int64_t countCall(int64_t result) { return ++calls > failAfterCalls ? -EIO : result; }
 
     FileCalls fileCalls()
     {
@@ -47,27 +47,27 @@
                 bytes = names[path]->bytes;
                 return 0; },
             .write = [this](int fd, const char* bytes, size_t n) -> int64_t {
-                if (counted(0) < 0)
+                if (countCall(0) < 0)
                     return -EIO;
-                if (room == 0)
+                if (freeBytes == 0)
                     return fullError;
-                n = std::min(n, room);
-                room -= room == SIZE_MAX ? 0 : n;
+                n = std::min(n, freeBytes);
+                freeBytes -= freeBytes == SIZE_MAX ? 0 : n;
                 open.at(fd)->bytes.append(bytes, n);
                 return static_cast<int64_t>(n); },
             .truncate = [this](int fd, uint64_t n) { open.at(fd)->bytes.resize(n); return 0; },
             .sync = [this](int fd) {
-                if (counted(syncError) < 0)
+                if (countCall(syncError) < 0)
                     return -EIO;
                 open.at(fd)->synced = open.at(fd)->bytes;
                 return 0; },
             .syncFolder = [this](const std::string&) {
-                if (counted(0) < 0)
+                if (countCall(0) < 0)
                     return -EIO;
                 syncedNames = names;
                 return 0; },
             .rename = [this](const std::string& from, const std::string& to) {
-                if (counted(0) < 0)
+                if (countCall(0) < 0)
                     return -EIO;
                 names[to] = names[from];
                 names.erase(from);
@@ -81,7 +81,7 @@
         names = syncedNames;
         for (auto& [name, file] : names)
             file->bytes = file->synced;
-        dieAfter = SIZE_MAX;
+        failAfterCalls = SIZE_MAX;
     }
     std::string& log() { return names.at("d/log")->bytes; }
 };
@@ -94,14 +94,14 @@
     return p;
 }
 
-static DiskLog opened(FakeDisk& disk) { return openFolder(disk.fileCalls(), "d").value(); }
+static DiskLog openLog(FakeDisk& disk) { return openFolder(disk.fileCalls(), "d").value(); }
 
 // Three writes.
-static FakeDisk filled()
+static FakeDisk diskWithThreeWrites()
 {
     FakeDisk disk;
     REQUIRE(formatFolder(disk.fileCalls(), "d", { { 7 }, { "h0" }, { { { 7 }, { "h0" }, Role::Voter, {} } } }));
-    DiskLog log = opened(disk);
+    DiskLog log = openLog(disk);
     for (uint64_t n = 1; n <= 3; ++n)
         REQUIRE(write(log, entryWrite(n, 1, "entry " + std::to_string(n))));
     return disk;
@@ -115,17 +115,17 @@
 
 TEST_CASE("a folder is formatted once, by an explicit command", "[consensus][disk]")
 {
-    // A voter's disk is replaced and the process starts on the empty folder. Were it to begin a fresh log by itself, it
-    // would vote as if it had promised nothing.
+    // Guards against a voter that forgets its earlier votes: its disk is replaced and the process starts on an empty
+    // folder. It must not start a new log by itself.
     FakeDisk disk;
     CHECK(openFolder(disk.fileCalls(), "d").error().code == base::Code::FolderNotFormatted);
     const FormatOptions options { { 7 }, { "h0" }, {} };
     REQUIRE(formatFolder(disk.fileCalls(), "d", options));
     CHECK(formatFolder(disk.fileCalls(), "d", options).error().code == base::Code::FolderAlreadyFormatted);
-    CHECK(opened(disk).id == ReplicaId { 7 });
+    CHECK(openLog(disk).id == ReplicaId { 7 });
 }
 
-TEST_CASE("what was written is there after a restart, on real files too", "[consensus][disk]")
+TEST_CASE("what was written is read back after a restart, on real files", "[consensus][disk]")
 {
     const std::string folder = std::string(BINARY_FOLDER) + "/disk-log-test";
     std::filesystem::remove_all(folder);
@@ -133,15 +133,15 @@
     REQUIRE(formatFolder(calls, folder, { { 7 }, { "h0" }, {} }));
     {
         DiskLog log = openFolder(calls, folder).value();
-        CHECK(openFolder(calls, folder).error().code == base::Code::DiskFailed); // a second process must keep out
+        CHECK(openFolder(calls, folder).error().code == base::Code::DiskFailed); // locked against a second process
         for (uint64_t n = 1; n <= 5; ++n)
             REQUIRE(write(log, entryWrite(n, 1, "one")));
         Persist cut = entryWrite(4, 2, std::string("\0\xff two", 6));
-        cut.cutFrom = { 4 };
+        cut.truncateFrom = { 4 };
         REQUIRE(write(log, cut));
         Persist compact;
         compact.snapshot = std::make_shared<const Snapshot>(Snapshot { { { 2 }, { 1 }, {} }, std::make_shared<const std::string>("state") });
-        compact.keepFrom = { 2 };
+        compact.retainFrom = { 2 };
         compact.state = { { 2 }, { 9 }, { 3 } };
         REQUIRE(write(log, compact));
         REQUIRE(write(log, entryWrite(5, 2, "three")));
@@ -159,65 +159,65 @@
     std::filesystem::remove_all(folder);
 }
 
-TEST_CASE("a write torn at any byte is cut, and nothing before it is touched", "[consensus][disk]")
+TEST_CASE("a write torn at any byte is truncated, and earlier data is unchanged", "[consensus][disk]")
 {
-    // The power goes while a record is written. It was not synced, so nobody was told of it; the replica must come back
-    // with everything before it, and write on.
-    const FakeDisk whole = filled();
+    // Guards against data loss by a power failure during a write. The torn record was not synced, so nothing depends on
+    // it; the replica must recover everything before it and continue to write.
+    const FakeDisk whole = diskWithThreeWrites();
     DiskLog before = openFolder(FakeDisk(whole).fileCalls(), "d").value();
     const std::string record = [&] {
-        FakeDisk disk = filled();
+        FakeDisk disk = diskWithThreeWrites();
         const size_t size = disk.log().size();
-        DiskLog log = opened(disk);
+        DiskLog log = openLog(disk);
         REQUIRE(write(log, entryWrite(4, 1, std::string(1500, 'x'))));
         return disk.log().substr(size);
     }();
     const auto cuts = [&](const std::string& torn) {
-        FakeDisk disk = filled();
+        FakeDisk disk = diskWithThreeWrites();
         disk.log() += torn;
-        DiskLog log = opened(disk);
+        DiskLog log = openLog(disk);
         CHECK(log.entries == before.entries);
         CHECK(log.truncatedBytes == torn.size());
         REQUIRE(write(log, entryWrite(4, 1, "again")));
-        CHECK(opened(disk).entries.back().data == "again");
+        CHECK(openLog(disk).entries.back().data == "again");
     };
     for (size_t n = 0; n < record.size(); ++n) {
         CAPTURE(n);
         cuts(record.substr(0, n));
     }
-    // The file has grown, but from some block on nothing was written.
-    const size_t start = filled().log().size();
+    // The file has its new length, but from some block on nothing was written.
+    const size_t start = diskWithThreeWrites().log().size();
     for (size_t end = (start / 512 + 1) * 512; end < start + record.size() - 16; end += 512) {
         CAPTURE(end);
         cuts(record.substr(0, end - start) + std::string(start + record.size() - end, '\0'));
     }
     cuts(std::string(record.size(), '\0'));
 
-    // The same wherever the frame begins, also where its header goes on in the next block.
+    // The same for any position of the frame, including a header that continues in the next block.
     for (size_t padding = 0; padding < 512; ++padding) {
         CAPTURE(padding);
-        FakeDisk disk = filled();
-        DiskLog log = opened(disk);
+        FakeDisk disk = diskWithThreeWrites();
+        DiskLog log = openLog(disk);
         REQUIRE(write(log, entryWrite(4, 1, std::string(padding, 'x'))));
         const size_t begin = disk.log().size();
         REQUIRE(write(log, entryWrite(5, 1, std::string(1500, 'x'))));
         const size_t block = (begin / 512 + 1) * 512;
         std::fill(disk.log().begin() + static_cast<int64_t>(block), disk.log().end(), '\0');
-        CHECK(opened(disk).entries.size() == 4);
+        CHECK(openLog(disk).entries.size() == 4);
     }
 }
 
-TEST_CASE("a flipped bit anywhere in the folder is reported and never read over", "[consensus][disk]")
+TEST_CASE("a flipped bit anywhere in the folder is reported as damage", "[consensus][disk]")
 {
-    // A disk returns a wrong byte. Read over, an accepted version would vanish or change; cut off like a torn write,
-    // this voter would forget what it promised.
+    // Guards against a disk that returns a wrong byte. If it were ignored, an accepted version would be lost or
+    // changed; if it were truncated like a torn write, the voter would forget its votes and recorded commits.
     size_t tried = 0;
     for (const char* name : { "d/log", "d/snapshot", "d/replica" }) {
-        const size_t size = filled().names.at(name)->bytes.size();
+        const size_t size = diskWithThreeWrites().names.at(name)->bytes.size();
         for (size_t at = 0; at < size; ++at) {
             for (int bit = 0; bit < 8; ++bit) {
                 CAPTURE(name, at, bit);
-                FakeDisk disk = filled();
+                FakeDisk disk = diskWithThreeWrites();
                 disk.names.at(name)->bytes[at] = static_cast<char>(disk.names.at(name)->bytes[at] ^ (1 << bit));
                 CHECK(opensDamaged(disk));
                 ++tried;
@@ -229,82 +229,82 @@
 
 TEST_CASE("a frame missing from the middle of the log is reported", "[consensus][disk]")
 {
-    FakeDisk disk = filled();
+    FakeDisk disk = diskWithThreeWrites();
     const size_t frame = disk.log().size() / 3;
     disk.log().erase(frame, frame);
     CHECK(opensDamaged(disk));
-    disk = filled();
-    std::fill_n(disk.log().begin() + static_cast<int64_t>(frame), frame, '\0'); // a write that the disk lost
+    disk = diskWithThreeWrites();
+    std::fill_n(disk.log().begin() + static_cast<int64_t>(frame), frame, '\0'); // a write lost by the disk
     CHECK(opensDamaged(disk));
 }
 
-TEST_CASE("a full or failing disk stops the log for good, at every byte", "[consensus][disk]")
+TEST_CASE("a full or failing disk stops the log permanently, at every byte", "[consensus][disk]")
 {
-    // The data folder fills up. The voter must not answer for what it could not write, and after a failed sync a later
-    // one that succeeds proves nothing, since the kernel may have dropped the bytes.
-    FakeDisk after = filled();
-    DiskLog healthy = opened(after);
+    // Guards against a voter that acknowledges what it could not write when the disk is full, and against trusting a
+    // sync that succeeds after a failed one, since the kernel may have dropped the data.
+    FakeDisk after = diskWithThreeWrites();
+    DiskLog healthy = openLog(after);
     REQUIRE(write(healthy, entryWrite(4, 1, "more")));
-    const size_t record = after.log().size() - filled().log().size();
-    for (size_t room = 0; room < record; ++room) {
-        CAPTURE(room);
-        FakeDisk disk = filled();
-        DiskLog log = opened(disk);
-        disk.room = room;
+    const size_t record = after.log().size() - diskWithThreeWrites().log().size();
+    for (size_t freeBytes = 0; freeBytes < record; ++freeBytes) {
+        CAPTURE(freeBytes);
+        FakeDisk disk = diskWithThreeWrites();
+        DiskLog log = openLog(disk);
+        disk.freeBytes = freeBytes;
         CHECK(write(log, entryWrite(4, 1, "more")).error().code == base::Code::DiskFull);
-        disk.room = SIZE_MAX;
+        disk.freeBytes = SIZE_MAX;
         CHECK(write(log, entryWrite(4, 1, "more")).error().code == base::Code::DiskFailed);
-        CHECK(opened(disk).entries.size() == 3);
+        CHECK(openLog(disk).entries.size() == 3);
     }
-    FakeDisk disk = filled();
-    DiskLog log = opened(disk);
+    FakeDisk disk = diskWithThreeWrites();
+    DiskLog log = openLog(disk);
     disk.syncError = -EIO;
     CHECK(write(log, entryWrite(4, 1, "more")).error().code == base::Code::DiskFailed);
     disk.syncError = 0;
     CHECK(write(log, entryWrite(4, 1, "more")).error().code == base::Code::DiskFailed);
 }
 
-TEST_CASE("a folder that goes on after a failed sync is written anew, and then a crash takes nothing back", "[consensus][disk]")
+TEST_CASE("a folder rewritten after a failed sync loses nothing in a crash", "[consensus][disk]")
 {
-    // The disk refuses a sync and is well again a second later. What can be read may never have reached it; a voter that
-    // promised it to the others would lose it with the next loss of power.
+    // Guards against losing acknowledged data at a power failure. A sync fails and the disk works again a second later:
+    // what can be read may never have reached the disk.
     for (const bool anew : { false, true }) {
-        FakeDisk disk = filled();
-        DiskLog log = opened(disk);
+        FakeDisk disk = diskWithThreeWrites();
+        DiskLog log = openLog(disk);
         disk.syncError = -EIO;
         REQUIRE_FALSE(write(log, entryWrite(4, 1, "more")));
         closeFolder(log);
         disk.syncError = 0;
 
-        DiskLog again = opened(disk);
+        DiskLog again = openLog(disk);
         REQUIRE(again.entries.size() == 4);
         if (anew)
             REQUIRE(rewriteFolder(again));
         disk.crash();
-        CHECK(opened(disk).entries.size() == (anew ? 4 : 3));
+        CHECK(openLog(disk).entries.size() == (anew ? 4 : 3));
     }
 }
 
 TEST_CASE("a crash at any file call leaves the old state or the new one", "[consensus][disk]")
 {
-    // The process dies, and the machine with it, somewhere inside a format, a write or the taking of a snapshot.
+    // Guards against partial states when the process and its machine fail during a format, a write or a snapshot.
     const auto snapshotWrite = [] {
         Persist p = entryWrite(9, 3, "after");
-        p.cutFrom = { 1 };
+        p.truncateFrom = { 1 };
         p.snapshot = std::make_shared<const Snapshot>(Snapshot { { { 8 }, { 3 }, {} }, std::make_shared<const std::string>("state") });
-        p.keepFrom = { 9 };
+        p.retainFrom = { 9 };
         return p;
     }();
     bool finished = false;
     for (size_t n = 0; !finished; ++n) {
         CAPTURE(n);
         REQUIRE(n < 100);
-        FakeDisk disk = filled();
-        DiskLog log = opened(disk);
-        disk.dieAfter = disk.calls + n;
+        FakeDisk disk = diskWithThreeWrites();
+        DiskLog log = openLog(disk);
+        disk.failAfterCalls = disk.calls + n;
         finished = write(log, snapshotWrite).has_value();
         disk.crash();
-        const DiskLog after = opened(disk);
+        const DiskLog after = openLog(disk);
         const bool old = after.snapshot.meta.index.value == 0 && after.entries.size() == 3;
         const bool between = after.snapshot.meta.index.value == 8 && after.entries.empty();
         const bool fresh = after.snapshot.meta.index.value == 8 && after.entries.size() == 1 && after.state.term.value == 3;
@@ -315,7 +315,7 @@
         CAPTURE(n);
         REQUIRE(n < 100);
         FakeDisk disk;
-        disk.dieAfter = n;
+        disk.failAfterCalls = n;
         finished = formatFolder(disk.fileCalls(), "d", { { 7 }, { "h0" }, {} }).has_value();
         disk.crash();
         const auto log = openFolder(disk.fileCalls(), "d");
@@ -325,7 +325,7 @@
     }
 }
 
-// One write that may follow what is there: entries after a cut, now and then a snapshot.
+// A random write that may follow the current contents: entries, optionally after a truncation, sometimes a snapshot.
 static Persist anyWrite(const Durable& disk)
 {
     const uint64_t first = disk.snapshot.meta.index.value + 1;
@@ -337,12 +337,12 @@
         const uint64_t index = *rc::gen::inRange(first, committed + 1);
         const SnapshotMeta meta { { index }, disk.entries[index - disk.entries.front().index.value].term, {} };
         p.snapshot = std::make_shared<const Snapshot>(Snapshot { meta, std::make_shared<const std::string>(*rc::gen::arbitrary<std::string>()) });
-        p.keepFrom = { *rc::gen::inRange(disk.entries.front().index.value, index + 2) };
+        p.retainFrom = { *rc::gen::inRange(disk.entries.front().index.value, index + 2) };
         return p;
     }
     uint64_t next = last + 1;
     if (last > committed && *rc::gen::inRange(0, 4) == 0)
-        p.cutFrom = { next = *rc::gen::inRange(committed + 1, last + 1) };
+        p.truncateFrom = { next = *rc::gen::inRange(committed + 1, last + 1) };
     const auto count = *rc::gen::inRange<uint64_t>(0, 4);
     for (uint64_t n = 0; n < count; ++n)
         p.entries.push_back({ { next + n }, p.state.term, EntryKind::Data, *rc::gen::arbitrary<std::string>(), {} });
@@ -350,23 +350,24 @@
     return p;
 }
 
-TEST_CASE("whatever was written, a restart finds the same", "[consensus][disk][fuzz]")
+TEST_CASE("any sequence of writes is read back after a restart", "[consensus][disk][fuzz]")
 {
-    // Voters write for weeks: entries, cuts, snapshots, restarts and torn tails in any order.
+    // Guards against differences after long use: entries, truncations, snapshots, restarts and torn last frames in any
+    // order.
     const bool passed = rc::check([] {
         FakeDisk disk;
         RC_ASSERT(formatFolder(disk.fileCalls(), "d", { { 7 }, { "h0" }, {} }).has_value());
-        DiskLog log = opened(disk);
+        DiskLog log = openLog(disk);
         Durable expected = durable(log);
         const int writes = *rc::gen::inRange(1, 30);
         for (int n = 0; n < writes; ++n) {
             const Persist p = anyWrite(expected);
             RC_ASSERT(write(log, p).has_value());
-            testing::makeDurable(expected, p);
+            testing::applyPersist(expected, p);
             if (*rc::gen::inRange(0, 3) != 0)
                 continue;
             disk.log() += std::string(*rc::gen::inRange<size_t>(0, 16), 'x');
-            log = opened(disk);
+            log = openLog(disk);
             const Durable found = durable(log);
             RC_ASSERT(found.entries == expected.entries);
             RC_ASSERT(found.state == expected.state);
