--- a/src/appletally/node/dialect.h
+++ b/src/appletally/node/dialect.h
@@ -15,8 +15,8 @@
     std::string service; // set to the service of the host where a request began, whatever was sent; empty: not set
     std::string requestId; // names one send of a request; upstreams repeat it; empty: not used
     std::string upstreamId; // names the upstream process that is meant, which refuses what is meant for another; empty: not set
-    std::string wholeMark; // an upstream puts it on every whole answer; a success without it is a broken one; empty: not checked
-    bool codedBodies = true; // false: callers ask for none, so a body in a content coding is not the upstream's
+    std::string completeAnswerHeader; // an upstream puts it on every whole answer; a success without it is a broken one; empty: not checked
+    bool allowContentCoding = true; // false: callers ask for none, so a body in a content coding is not the upstream's
     bool fractionalRetryAfter = false; // Retry-After may have a fraction
 };
 
--- a/src/appletally/node/node.cpp
+++ b/src/appletally/node/node.cpp
@@ -37,7 +37,7 @@
     , m_incarnation(freshIncarnation())
     , m_peers(loop, m_settings.membership, { [this](const base::HostId& host, const policy::Load& load) { m_ingress.loadTold(host, load); }, [this](const base::HostId& host) { m_ingress.onSuspected(host); } })
     , m_claims(loop, m_settings.membership.host, m_incarnation, m_peers)
-    , m_owner(loop, { m_settings.membership.host, m_incarnation, m_settings.dialect, m_settings.features, m_settings.admission, m_settings.announcementLife }, m_claims,
+    , m_owner(loop, { m_settings.membership.host, m_incarnation, m_settings.dialect, m_settings.features, m_settings.admission, m_settings.announcementTimeout }, m_claims,
           { [this] { announceEndpoint(); }, [this](const policy::Load& load) {
                m_ownerLinks.tell(load);
                m_ingress.loadTold(m_settings.membership.host, load); } })
@@ -167,15 +167,15 @@
         m_acceptingStopped = true;
         m_ingress.stop();
     }
-    if (!m_lastAnswersGiven && stopping >= m_settings.stopBound - std::min(lastAnswersBefore, m_settings.stopBound / 4)) {
+    if (!m_lastAnswersGiven && stopping >= m_settings.gracefulShutdownTimeout - std::min(lastAnswersBefore, m_settings.gracefulShutdownTimeout / 4)) {
         m_lastAnswersGiven = true;
         m_ingress.answerAll();
     }
     const bool done = m_acceptingStopped && m_ingress.idle() && m_owner.idle() && m_claims.idle();
-    if (!done && stopping < m_settings.stopBound)
+    if (!done && stopping < m_settings.gracefulShutdownTimeout)
         return;
     if (!done)
-        base::logEvent(Event::StopBoundReached, "requests still ran after " + std::to_string(m_settings.stopBound.ms) + " ms");
+        base::logEvent(Event::StopBoundReached, "requests still ran after " + std::to_string(m_settings.gracefulShutdownTimeout.ms) + " ms");
     const auto stopped = std::move(m_stopped);
     m_stopped = nullptr;
     stopped();
@@ -191,7 +191,7 @@
 
 void Node::stop(std::function<void()> stopped)
 {
-    base::logEvent(Event::Stopping, "drains for " + std::to_string(m_settings.drainTime.ms) + " ms, ends within " + std::to_string(m_settings.stopBound.ms) + " ms");
+    base::logEvent(Event::Stopping, "drains for " + std::to_string(m_settings.drainTime.ms) + " ms, ends within " + std::to_string(m_settings.gracefulShutdownTimeout.ms) + " ms");
     m_stopped = std::move(stopped);
     m_stopAt = base::steadyNow();
     m_ingress.drain();
--- a/src/appletally/node/owner.cpp
+++ b/src/appletally/node/owner.cpp
@@ -89,7 +89,7 @@
 {
     const Time now = base::steadyNow();
     follow(policy::tick(m_admission, now));
-    if (m_upstream && now - m_announcedAt > m_settings.announcementLife)
+    if (m_upstream && now - m_announcedAt > m_settings.announcementTimeout)
         loseUpstream("its announcement ran out");
     if (m_drainingSince && now - *m_drainingSince > waitAtDraining)
         refuseWaiting(base::fail(Code::Draining, "the upstream is leaving"));
@@ -143,7 +143,7 @@
                 giveUp(*it, base::fail(Code::OutcomeUnknown, "the upstream was replaced"));
         }
         m_client = std::make_unique<http::UpstreamClient>(m_loop, announcement.address);
-        policy::upstreamStarted(m_admission, m_announcedAt + std::min(announcement.coldLeft, policy::slowStart) - policy::slowStart);
+        policy::upstreamStarted(m_admission, m_announcedAt + std::min(announcement.slowStartRemaining, policy::slowStart) - policy::slowStart);
     }
     m_upstream = announcement;
     if (becameReady)
--- a/src/appletally/node/owner.h
+++ b/src/appletally/node/owner.h
@@ -33,7 +33,7 @@
     int slots = 1;
     config::EndpointState state = config::EndpointState::Starting;
     std::string id; // its own name for this start; empty: none
-    base::Duration coldLeft = policy::slowStart; // of a fresh start: how much longer it is slow
+    base::Duration slowStartRemaining = policy::slowStart; // of a fresh start: how much longer it is slow
 };
 
 // What the settings say of the owner's side.
@@ -43,7 +43,7 @@
     Dialect dialect;
     CallFeatures features;
     policy::AdmissionParts admission;
-    base::Duration announcementLife;
+    base::Duration announcementTimeout;
 };
 
 struct OwnerCounts {
--- a/src/appletally/node/owner_run.cpp
+++ b/src/appletally/node/owner_run.cpp
@@ -221,9 +221,9 @@
 static std::optional<base::Error> whyBroken(const http::AnswerHead& head, const Dialect& names)
 {
     const bool success = head.status >= 200 && head.status < 300;
-    if (success && !names.wholeMark.empty() && !http::findHeader(head.headers, names.wholeMark))
+    if (success && !names.completeAnswerHeader.empty() && !http::findHeader(head.headers, names.completeAnswerHeader))
         return base::fail(Code::UpstreamBroke, "a success without the upstream's mark");
-    if (!names.codedBodies && http::findHeader(head.headers, "Content-Encoding"))
+    if (!names.allowContentCoding && http::findHeader(head.headers, "Content-Encoding"))
         return base::fail(Code::UpstreamBroke, "a body in a content coding that nobody asked for");
     return {};
 }
--- a/src/appletally/node/run.cpp
+++ b/src/appletally/node/run.cpp
@@ -40,7 +40,7 @@
     std::signal(SIGHUP, SIG_IGN); // a port that can reload looks at its file by itself; unhandled it would end the process
     if (sodium_init() < 0)
         return base::exitCode(base::Code::Internal);
-    base::startLog("appletally-node", settings.membership.host.text, settings.leastSeverity);
+    base::startLog("appletally-node", settings.membership.host.text, settings.minSeverity);
     event_base* loop = event_base_new();
     base::Channel<inner::ToNode> fromControl;
     inner::ControlLinkSettings controlSettings { settings.membership, settings.zone, settings.region, settings.voters, settings.sources, settings.operators };
--- a/src/appletally/node/settings.cpp
+++ b/src/appletally/node/settings.cpp
@@ -69,8 +69,8 @@
     if (top.has("limits"))
         readLimits(top.object("limits"), out.limits);
     out.drainTime = top.duration("drain_ms", Duration { 0 }, Duration { 60000 }, out.drainTime);
-    out.stopBound = top.duration("stop_bound_ms", Duration { 100 }, Duration { 600000 }, out.stopBound);
-    out.leastSeverity = static_cast<base::Severity>(top.choice("log", { "info", "warning", "error" }, 0));
+    out.gracefulShutdownTimeout = top.duration("stop_bound_ms", Duration { 100 }, Duration { 600000 }, out.gracefulShutdownTimeout);
+    out.minSeverity = static_cast<base::Severity>(top.choice("log", { "info", "warning", "error" }, 0));
     top.finish();
     if (problem.first)
         return *problem.first;
--- a/src/appletally/node/settings.h
+++ b/src/appletally/node/settings.h
@@ -28,10 +28,10 @@
     CallFeatures features;
     policy::AdmissionParts admission;
     base::ServiceName service; // of the upstream beside this node; empty: only its announcements say
-    base::Duration announcementLife { 3000 }; // an upstream renews its announcement every second; three missed ones mean that it is gone
+    base::Duration announcementTimeout { 3000 }; // an upstream renews its announcement every second; three missed ones mean that it is gone
     base::Duration drainTime { 2000 }; // after SIGTERM, goes on taking what still arrives while callers move on
-    base::Duration stopBound { 30000 }; // after SIGTERM, ends even if requests still run
-    base::Severity leastSeverity = base::Severity::Info;
+    base::Duration gracefulShutdownTimeout { 30000 }; // after SIGTERM, ends even if requests still run
+    base::Severity minSeverity = base::Severity::Info;
 };
 
 base::Result<NodeSettings> readNodeSettings(const std::string& file);
--- a/tests/node_fixture.cpp
+++ b/tests/node_fixture.cpp
@@ -106,7 +106,7 @@
     settings.callers = settings.inner = settings.announce = settings.operators = base::parseAddress(anyPort).value();
     settings.limits = limits;
     settings.drainTime = { 100 };
-    settings.stopBound = stopBound;
+    settings.gracefulShutdownTimeout = gracefulShutdownTimeout;
     auto& it = m_nodes[host];
     it = std::make_unique<TestNode>();
     it->host = host;
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -78,7 +78,7 @@
     event_base* loop() { return m_loop; }
     std::map<std::string, std::unique_ptr<TestNode>>& nodes() { return m_nodes; }
     appletally::http::ListenerLimits limits;
-    appletally::base::Duration stopBound { 30000 }; // of nodes added from now on
+    appletally::base::Duration gracefulShutdownTimeout { 30000 }; // of nodes added from now on
     TestRollout rollout;
 
 private:
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -172,7 +172,7 @@
     TestMesh mesh;
     TestUpstream upstream(mesh.loop());
     TestNode& owner = mesh.addNode("a", "z1");
-    mesh.stopBound = { 400 };
+    mesh.gracefulShutdownTimeout = { 400 };
     TestNode& stopping = mesh.addNode("b", "z2");
     mesh.announce(owner, upstream, "ready");
     mesh.applyEverywhere("examples/berthgrid.json");
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -51,7 +51,7 @@
     const auto good = platform::readHeartbeat("i-1", beatBody().dump());
     REQUIRE(good);
     CHECK(good.value().announcement.slots == 6);
-    CHECK(good.value().announcement.coldLeft == base::Duration { 500 });
+    CHECK(good.value().announcement.slowStartRemaining == base::Duration { 500 });
     CHECK(good.value().announcement.state == config::EndpointState::Ready);
     // Another program writes half of a report, or of a kind that nobody here knows. Guessing what is missing would send
     // callers to an upstream that is not there.
@@ -281,7 +281,7 @@
     REQUIRE(node);
     CHECK(node.value().settings.inner.text() == "10.1.0.9:7380");
     CHECK(node.value().settings.sources[1].text() == "10.1.0.2:7380");
-    CHECK(node.value().settings.stopBound < base::Duration { 6000 });
+    CHECK(node.value().settings.gracefulShutdownTimeout < base::Duration { 6000 });
     const auto control = platform::readControlFile(file.dump());
     REQUIRE(control);
     CHECK(control.value().settings.membership.host.text == "10.1.0.9:7380");
