--- a/src/appletally/node/active_request.h
+++ b/src/appletally/node/active_request.h
@@ -1,4 +1,4 @@
-// One caller's request at its node, and its tries at upstreams. Only the files of the ingress include this.
+// State of one caller's request at the ingress and of its attempts at upstreams. Private to the ingress sources.
 #pragma once
 
 #include "appletally/node/ingress.h"
@@ -7,51 +7,51 @@
 
 namespace appletally::node {
 
-// Answers up to this size are held until they are known to be whole, so that a caller never sees the beginning of one
-// that breaks; larger ones stream, and a break is shown by a reset connection.
-constexpr int64_t heldAnswerBytes = 256 * 1024;
+// Answers up to this size are buffered until complete, so that a caller never receives the beginning of one that breaks.
+// Larger ones are streamed; if one breaks, the caller's connection is reset.
+constexpr int64_t maxBufferedAnswerBytes = 256 * 1024;
 
-// A node that has just started has its configuration and its upstreams within half a second as a rule, and a service that has
-// lost all of them seldom has one sooner.
-constexpr base::Duration startingPause { 500 };
+// Retry-After in ms when there is no configuration or no upstream. A node that has just started usually has both within
+// half a second, and a service that has lost all upstreams rarely gets one back sooner.
+constexpr base::Duration startupRetryAfter { 500 };
 
-// One copy of the request on its way to one upstream. There are two at most: the first, and a hedge.
-struct Ingress::Try {
-    uint64_t number = 0; // counted over the request's life; tells a late callback from one of the present try
-    bool local = false; // the upstream beside this node
+// One copy of the request, sent to one upstream. At most two are active: the first and a hedge.
+struct Ingress::Attempt {
+    uint64_t number = 0; // unique within the node; tells a late callback of an ended attempt from one of an active attempt
+    bool local = false; // sent to the upstream beside this node
     uint64_t callId = 0; // OwnerCallId or PeerCallId
     policy::Pick pick;
     base::Time sentAt;
     bool isHedge = false;
 
     std::optional<http::AnswerHead> head;
-    std::string held;
+    std::string bufferedBody;
     uint64_t bodyBytes = 0;
-    uint64_t uncredited = 0; // of body bytes taken here, for which the owner may not send more yet
+    uint64_t uncreditedBytes = 0; // body bytes received for which no credit has been returned to the owner
 };
 
-struct Ingress::Active {
+struct Ingress::ActiveRequest {
     uint64_t id = 0;
-    std::string name; // under which the logs of all processes speak of it: the caller's id for this send
+    std::string name; // identifies the request in the logs of all processes: the caller's request id, if it sent one
     Ingress* ingress = nullptr;
-    http::CallerExchange* exchange = nullptr; // null: the caller left, and others wait for this run
-    std::shared_ptr<const config::Snapshot> snapshot; // that the request began with
-    const config::Route* route = nullptr; // in `snapshot`
+    http::CallerExchange* exchange = nullptr; // null: the caller disconnected, and other callers share this run
+    std::shared_ptr<const config::Snapshot> snapshot; // applied when the request arrived
+    const config::Route* route = nullptr; // points into `snapshot`
     Call call;
-    base::Time began;
-    int64_t beganMicros = 0;
-    event* timer = nullptr; // the deadline, or the wait before a retry
+    base::Time startedAt;
+    int64_t startedMicros = 0;
+    event* timer = nullptr; // deadline, or delay before a retry
     event* hedgeTimer = nullptr;
-    bool waitsToRetry = false;
-    bool waitsForRun = false; // shares the run of an identical read
+    bool retryPending = false;
+    bool awaitingSharedRun = false; // waits for the answer of an identical read
     bool streaming = false;
-    bool mayHaveRun = false; // an earlier try ended with its outcome unknown
-    std::optional<base::Error> refusal; // of the first try that was refused
-    int tries = 0;
-    std::vector<base::HostId> tried;
-    std::vector<std::unique_ptr<Try>> underWay;
+    bool mayHaveRun = false; // an earlier attempt ended with its outcome unknown
+    std::optional<base::Error> firstRefusal; // of the first refused attempt; its retryAfter is the shortest of all refusals
+    int attemptCount = 0;
+    std::vector<base::HostId> attemptedHosts;
+    std::vector<std::unique_ptr<Attempt>> activeAttempts;
 
-    ~Active()
+    ~ActiveRequest()
     {
         if (timer)
             event_free(timer);
--- a/src/appletally/node/announce_port.cpp
+++ b/src/appletally/node/announce_port.cpp
@@ -1,4 +1,4 @@
-// Announcements by evhttp; a bad one is answered with what was expected.
+// Receives announcements with evhttp; an invalid one is answered with what was expected.
 #include "appletally/node/announce_port.h"
 
 #include "appletally/base/json_reader.h"
@@ -12,7 +12,7 @@
 
 using base::Code;
 
-constexpr ev_ssize_t mostAnnouncementBytes = 4096;
+constexpr ev_ssize_t maxAnnouncementBytes = 4096;
 
 base::Result<Announcement> readAnnouncement(const std::string& body)
 {
@@ -38,7 +38,7 @@
     : m_http(evhttp_new(loop))
     , m_onAnnouncement(std::move(onAnnouncement))
 {
-    evhttp_set_max_body_size(m_http, mostAnnouncementBytes);
+    evhttp_set_max_body_size(m_http, maxAnnouncementBytes);
     evhttp_set_allowed_methods(m_http, EVHTTP_REQ_POST);
     evhttp_set_cb(
         m_http, "/announce", [](evhttp_request* request, void* arg) {
--- a/src/appletally/node/announce_port.h
+++ b/src/appletally/node/announce_port.h
@@ -1,4 +1,4 @@
-// The loopback port where the upstream beside this node announces itself, by HTTP: POST /announce with a JSON object.
+// HTTP endpoint on loopback where the upstream beside this node registers: POST /announce with a JSON object.
 #pragma once
 
 #include "appletally/base/result.h"
@@ -11,7 +11,7 @@
 
 namespace appletally::node {
 
-// Keys: service, version, address ("ip:port" of the upstream's HTTP), slots, state ("starting", "ready", "draining").
+// Keys: service, version, address ("ip:port" of the upstream's HTTP server), slots, state ("starting", "ready", "draining").
 base::Result<Announcement> readAnnouncement(const std::string& body);
 
 class AnnouncePort {
--- a/src/appletally/node/call.h
+++ b/src/appletally/node/call.h
@@ -1,7 +1,7 @@
-// One call on its way from the caller's node to the upstream's own node, and what comes back.
+// A call from the ingress to the owner, and its result.
 //
-// The same structs serve both ways: over a link to another node, and within the process where the upstream beside this
-// node is the target. So what a caller gets does not depend on which way its call took.
+// The same structs are used over a link to another node and within the process, when the target is the upstream beside
+// this node. What a caller receives therefore does not depend on the path of its call.
 #pragma once
 
 #include "appletally/base/clock.h"
@@ -26,42 +26,43 @@
     std::string target; // path and query
     std::vector<http::HeaderField> headers;
     std::string body;
-    base::Time deadline; // on this process's clock; on the wire it is what remains
+    base::Time deadline; // on this process's clock; sent as the remaining time
     base::CallerId caller;
-    base::IdempotencyKey key; // empty: none
+    base::IdempotencyKey key; // empty: not a keyed request
     base::AttemptId attempt;
-    bool internal = false; // another service of the mesh calls
-    base::ConfigVersion configVersion; // that the caller's node routed by
-    uint8_t depth = 0; // how many calls stand above this one
+    bool internal = false; // the caller is another service of the mesh
+    base::ConfigVersion configVersion; // used by the ingress to route the call
+    uint8_t depth = 0; // number of enclosing calls
 
-    // What the caller's node knows of the route. It travels with the call, since the upstream's node may have started a
-    // moment ago, or have another version in force, and must not take a caller's request for an unknown one.
+    // Route properties known to the ingress. They are sent with the call because the owner may have just started or may
+    // have applied another version, and must not treat the call as one of an unknown route.
     bool idempotent = false;
     config::Priority priority = config::Priority::Read;
-    base::Duration expected { 20 }; // usual run at the upstream
-    std::optional<base::Time> fullWorthBy; // as in policy::Arrival; on the wire it is what remains
-    std::optional<policy::CallerBaseline> old; // how the version that a rollout moves away from does, as the caller's node sees it
+    base::Duration expected { 20 }; // usual run time at the upstream
+    std::optional<base::Time> targetDeadline; // an answer after it is late and of less value; sent as the remaining time
+    std::optional<policy::CallerBaseline> baseline; // results of the version that a rollout replaces, as seen by the ingress; empty: no rollout or not known
 };
 
 struct CallEnd {
-    std::optional<base::Error> error; // none: the answer was whole
-    std::optional<policy::Load> load; // of the owner, where it could say
-    int64_t runMicros = 0; // at the upstream
-    base::Duration usualRun {}; // of the route there lately, over all callers; zero: not known
+    std::optional<base::Error> error; // empty: the answer was complete
+    std::optional<policy::Load> load; // of the owner, if known
+    int64_t runMicros = 0; // run time at the upstream
+    base::Duration usualRun {}; // recent run time of the route there over all callers; zero: not known
 };
 
-// Under which name the logs speak of a request: what its caller calls this send, or else what this process does.
-std::string nameOf(const std::vector<http::HeaderField>& headers, const std::string& idHeader, uint64_t own);
+// Name of a request in the logs: the caller's request id, or else `own`, this process's number.
+std::string requestLogName(const std::vector<http::HeaderField>& headers, const std::string& idHeader, uint64_t own);
 
-// `end` comes once and last; `head` before any `body`. None is called from within the function that starts the call.
+// `head` is called before any `body`; `end` is called exactly once, last. None is called from within the function that
+// starts the call.
 struct CallHandler {
     std::function<void(const http::AnswerHead&)> head;
-    std::function<void(evbuffer*)> body; // takes all; then consumed() says when it has been passed on
+    std::function<void(evbuffer*)> body; // drains the buffer; consumed() is called when the bytes have been passed on
     std::function<void(const CallEnd&)> end;
 };
 
-// Body bytes that may be on the way to the caller's node without having been passed on. Large enough for 1.5 ms of
-// way at 1 Gbit/s, small enough that a hundred stalled callers hold 25 MB.
-constexpr uint64_t bodyWindow = 256 * 1024;
+// Flow-control window: body bytes that an owner may send before the ingress has passed them on. Large enough for a
+// delay of 1.5 ms at 1 Gbit/s, small enough that a hundred stalled callers hold 25 MB.
+constexpr uint64_t bodyWindowBytes = 256 * 1024;
 
 } // namespace appletally::node
--- a/src/appletally/node/claim_codec.cpp
+++ b/src/appletally/node/claim_codec.cpp
@@ -1,4 +1,4 @@
-// Field by field translation of claim messages.
+// Field-by-field conversion of claim messages.
 #include "appletally/node/claim_codec.h"
 
 #include "appletally/inner/claim.capnp.h"
@@ -253,8 +253,8 @@
 base::Result<ClaimMessage> decodeClaim(const std::string& bytes)
 {
     if (bytes.empty() || bytes.size() % sizeof(capnp::word) != 0)
-        return base::fail(base::Code::MessageMalformed, "a claim message of " + std::to_string(bytes.size()) + " bytes");
-    auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word)); // aligned, unlike the text
+        return base::fail(base::Code::MessageMalformed, "invalid length of a claim message: " + std::to_string(bytes.size()) + " bytes");
+    auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word)); // aligned, unlike the string
     memcpy(words.begin(), bytes.data(), bytes.size());
     try {
         capnp::FlatArrayMessageReader reader(words);
--- a/src/appletally/node/claim_codec.h
+++ b/src/appletally/node/claim_codec.h
@@ -1,4 +1,4 @@
-// Bytes of claim messages between nodes, by Cap'n Proto. Nothing is decided here.
+// Encodes and decodes claim messages between nodes with Cap'n Proto.
 #pragma once
 
 #include "appletally/base/result.h"
--- a/src/appletally/node/claims.cpp
+++ b/src/appletally/node/claims.cpp
@@ -1,4 +1,4 @@
-// Carries claim messages between rounds, keepers and other nodes.
+// Transports claim messages between claim rounds, the local keeper and other nodes.
 #include "appletally/node/claims.h"
 
 #include "appletally/base/log.h"
@@ -11,14 +11,14 @@
 
 using base::Duration;
 
-constexpr Duration busyTick { 5 }; // finer than the shortest pause of a round (8 ms)
-constexpr Duration idleTick { 250 }; // only claims expire then
-constexpr Duration expireEvery { 1000 };
-constexpr Duration catchUpEvery { 50 }; // as claim_keeper.h asks for
+constexpr Duration busyTickInterval { 5 }; // shorter than the shortest pause of a round (8 ms)
+constexpr Duration idleTickInterval { 250 }; // only the expiry of claims needs the tick then
+constexpr Duration expiryInterval { 1000 };
+constexpr Duration catchUpInterval { 50 }; // as required by claim_keeper.h
 
 struct Claims::Round {
     policy::ClaimRound round;
-    Decided decided; // empty once called
+    OnDecided onDecided; // reset once called
 };
 
 Claims::Claims(event_base* loop, base::HostId own, base::Incarnation incarnation, Peers& peers)
@@ -37,7 +37,7 @@
     if (m_tickBusy == busy)
         return;
     m_tickBusy = busy;
-    const timeval every = base::toTimeval(busy ? busyTick : idleTick);
+    const timeval every = base::toTimeval(busy ? busyTickInterval : idleTickInterval);
     event_add(m_tick, &every);
 }
 
@@ -68,15 +68,15 @@
     return nullptr;
 }
 
-ClaimId Claims::start(const policy::ClaimKey& key, uint64_t digest, Duration runWithin, Decided decided)
+ClaimId Claims::start(const policy::ClaimKey& key, uint64_t digest, Duration runWithin, OnDecided onDecided)
 {
     const ClaimId id = ++m_lastId;
     auto made = std::make_unique<Round>();
     made->round = policy::startRound(m_set, key, digest, { inner::randomNumber() }, runWithin, base::steadyNow());
-    made->decided = std::move(decided);
+    made->onDecided = std::move(onDecided);
     m_rounds[id] = std::move(made);
     setTick(true);
-    pump(id);
+    sendPending(id);
     return id;
 }
 
@@ -86,21 +86,21 @@
     if (it == m_rounds.end())
         return;
     policy::endRun(it->second->round, how, std::move(outcome), base::steadyNow());
-    pump(id);
+    sendPending(id);
 }
 
-// Sends what the round has to send. Its decision is told from the tick or an answer, never from within start().
-void Claims::pump(ClaimId id)
+// Sends the pending messages of a round. The decision is reported from the tick, never from within start().
+void Claims::sendPending(ClaimId id)
 {
     auto it = m_rounds.find(id);
     if (it == m_rounds.end())
         return;
     const auto sends = policy::roundSends(it->second->round, base::steadyNow(), inner::randomNumber());
     for (const policy::ClaimSend& send : sends)
-        std::visit([&](const auto& message) { deliver(id, send.to, message); }, send.message);
+        std::visit([&](const auto& message) { sendTo(id, send.to, message); }, send.message);
 }
 
-void Claims::deliver(ClaimId id, const base::HostId& to, const ClaimMessage& message)
+void Claims::sendTo(ClaimId id, const base::HostId& to, const ClaimMessage& message)
 {
     const std::string bytes = encodeClaim(message);
     if (to == m_own) {
@@ -108,7 +108,7 @@
         return onAnswer(id, to, answer);
     }
     if (const base::Address* address = addressOf(to))
-        m_peers->askClaim(to, *address, bytes, [this, id, to](const std::string& body) { onAnswer(id, to, body); });
+        m_peers->sendClaimMessage(to, *address, bytes, [this, id, to](const std::string& body) { onAnswer(id, to, body); });
 }
 
 void Claims::onAnswer(ClaimId id, const base::HostId& from, const std::string& body)
@@ -123,7 +123,7 @@
         policy::onClaimAnswer(it->second->round, from, *answer, base::steadyNow());
     else if (const auto* noted = std::get_if<policy::ClaimNoted>(&message.value()))
         policy::onClaimNoted(it->second->round, from, *noted);
-    // The answer may come from within pump(); what follows from it waits for the loop.
+    // The answer may arrive within sendPending(), so it is processed from the loop.
     event_active(m_tick, 0, 0);
 }
 
@@ -153,21 +153,21 @@
     for (const ClaimId id : ids) {
         Round& it = *m_rounds.at(id);
         policy::onRoundTick(it.round, now);
-        if (it.round.decision != policy::ClaimDecision::Pending && it.decided) {
-            const auto decided = std::move(it.decided);
-            it.decided = nullptr;
-            decided(it.round);
+        if (it.round.decision != policy::ClaimDecision::Pending && it.onDecided) {
+            const auto onDecided = std::move(it.onDecided);
+            it.onDecided = nullptr;
+            onDecided(it.round);
         }
-        pump(id);
+        sendPending(id);
         const bool running = it.round.decision == policy::ClaimDecision::Run && !it.round.end;
-        if (!it.decided && !running && !policy::nextSendAt(it.round))
+        if (!it.onDecided && !running && !policy::nextSendAt(it.round))
             m_rounds.erase(id);
     }
-    if (!m_keeper.caughtUp && now - m_caughtUpAt >= catchUpEvery) {
+    if (!m_keeper.caughtUp && now - m_caughtUpAt >= catchUpInterval) {
         m_caughtUpAt = now;
         catchUp();
     }
-    if (now - m_expiredAt >= expireEvery) {
+    if (now - m_expiredAt >= expiryInterval) {
         m_expiredAt = now;
         policy::expireClaims(m_keeper, now);
     }
@@ -180,7 +180,7 @@
         const base::Address* address = addressOf(host);
         if (!address)
             continue;
-        m_peers->askClaim(host, *address, encodeClaim(ask), [this](const std::string& body) {
+        m_peers->sendClaimMessage(host, *address, encodeClaim(ask), [this](const std::string& body) {
             const auto message = decodeClaim(body);
             const auto* answer = message ? std::get_if<policy::CatchUpAnswer>(&message.value()) : nullptr;
             if (!answer)
--- a/src/appletally/node/claims.h
+++ b/src/appletally/node/claims.h
@@ -1,7 +1,8 @@
-// At-most-once on the wire: asks keepers before a keyed request runs, and answers as a keeper for other nodes.
+// At-most-once execution: requests claims from the keepers before a keyed request runs, and serves as a keeper for other
+// nodes.
 //
-// The decisions stand in policy/claim_round.h and policy/claim_keeper.h; this task only carries their messages and
-// calls them in time.
+// The protocol is decided in policy/claim_round.h and policy/claim_keeper.h; this class transports their messages and
+// drives their timers.
 #pragma once
 
 #include "appletally/node/claim_codec.h"
@@ -19,7 +20,7 @@
 
 class Claims {
 public:
-    using Decided = std::function<void(const policy::ClaimRound&)>; // once, from the loop
+    using OnDecided = std::function<void(const policy::ClaimRound&)>; // called once, from the loop
 
     Claims(event_base*, base::HostId own, base::Incarnation, Peers&);
     ~Claims();
@@ -28,20 +29,20 @@
 
     void apply(const config::KeeperSet&);
 
-    ClaimId start(const policy::ClaimKey&, uint64_t digest, base::Duration runWithin, Decided);
-    // Of one request: the same key with another digest is refused.
+    ClaimId start(const policy::ClaimKey&, uint64_t digest, base::Duration runWithin, OnDecided);
+    // Identifies the content of a request: the same key with another digest is refused.
     static uint64_t digestOf(const Call&);
-    void end(ClaimId, policy::ClaimEnd, std::optional<policy::ClaimOutcome>); // after a decision to run; exactly once
+    void end(ClaimId, policy::ClaimEnd, std::optional<policy::ClaimOutcome>); // exactly once after a decision to run
 
-    // A message from another node; the answer for it, empty where there is none.
+    // Handles a message from another node. Returns the answer, empty if there is none.
     std::string receive(const std::string& body);
-    bool idle() const { return m_rounds.empty(); } // also endings have been noted
+    bool idle() const { return m_rounds.empty(); } // the keepers have also acknowledged the ends of all runs
     nlohmann::json toJson() const;
 
 private:
     struct Round;
-    void pump(ClaimId);
-    void deliver(ClaimId, const base::HostId& to, const ClaimMessage&);
+    void sendPending(ClaimId);
+    void sendTo(ClaimId, const base::HostId& to, const ClaimMessage&);
     void onAnswer(ClaimId, const base::HostId& from, const std::string& body);
     void onTick();
     void setTick(bool busy);
--- a/src/appletally/node/early_requests.cpp
+++ b/src/appletally/node/early_requests.cpp
@@ -1,4 +1,4 @@
-// A short list and one timer; see the header.
+// Implemented as a list with a single timer.
 #include "appletally/node/early_requests.h"
 
 #include "appletally/base/loop_time.h"
@@ -8,10 +8,10 @@
 
 namespace appletally::node {
 
-// Callers wait several times as long as an answer is worth most, so an eighth leaves most of that time for the answer.
-constexpr int64_t partOfTimeLeft = 8;
-constexpr base::Duration longestKept { 500 };
-constexpr size_t mostKept = 500; // more than a node's callers send in that time; bounds its memory
+// Callers' timeouts are several times the target latency, so waiting an eighth leaves most of the target for the answer.
+constexpr int64_t timeLeftDivisor = 8;
+constexpr base::Duration maxQueueTime { 500 };
+constexpr size_t maxQueuedRequests = 500; // bounds the memory; more than a node's callers send within maxQueueTime
 
 EarlyRequests::EarlyRequests(event_base* loop, Serve serve, Refuse refuse)
     : m_serve(std::move(serve))
@@ -23,36 +23,36 @@
 
 EarlyRequests::~EarlyRequests() { event_free(m_timer); }
 
-bool EarlyRequests::keep(http::CallerExchange& exchange, base::Duration timeLeft)
+bool EarlyRequests::enqueue(http::CallerExchange& exchange, base::Duration timeLeft)
 {
-    if (!m_expected || m_kept.size() >= mostKept)
+    if (!m_configurationExpected || m_queue.size() >= maxQueuedRequests)
         return false;
     const base::Time now = base::steadyNow();
-    const base::Duration within = std::min(base::Duration { timeLeft.ms / partOfTimeLeft }, longestKept);
-    m_kept.push_back({ &exchange, now, now + within });
-    exchange.gone = [this, gone = &exchange] { std::erase_if(m_kept, [&](const Kept& it) { return it.exchange == gone; }); };
+    const base::Duration within = std::min(base::Duration { timeLeft.ms / timeLeftDivisor }, maxQueueTime);
+    m_queue.push_back({ &exchange, now, now + within });
+    exchange.gone = [this, gone = &exchange] { std::erase_if(m_queue, [&](const QueuedRequest& it) { return it.exchange == gone; }); };
     arm();
     return true;
 }
 
-void EarlyRequests::setExpected(bool expected)
+void EarlyRequests::setConfigurationExpected(bool expected)
 {
-    m_expected = expected;
+    m_configurationExpected = expected;
     if (!expected)
         refuseAll();
 }
 
 void EarlyRequests::serveAll()
 {
-    for (const Kept& it : std::exchange(m_kept, {})) {
+    for (const QueuedRequest& it : std::exchange(m_queue, {})) {
         it.exchange->gone = nullptr;
-        m_serve(*it.exchange, it.since);
+        m_serve(*it.exchange, it.arrivedAt);
     }
 }
 
 void EarlyRequests::refuseAll()
 {
-    for (const Kept& it : std::exchange(m_kept, {})) {
+    for (const QueuedRequest& it : std::exchange(m_queue, {})) {
         it.exchange->gone = nullptr;
         m_refuse(*it.exchange);
     }
@@ -61,13 +61,13 @@
 void EarlyRequests::onTimer()
 {
     const base::Time now = base::steadyNow();
-    std::vector<Kept> over;
-    for (const Kept& it : m_kept) {
-        if (it.until <= now)
-            over.push_back(it);
+    std::vector<QueuedRequest> expired;
+    for (const QueuedRequest& it : m_queue) {
+        if (it.expiresAt <= now)
+            expired.push_back(it);
     }
-    std::erase_if(m_kept, [&](const Kept& it) { return it.until <= now; });
-    for (const Kept& it : over) {
+    std::erase_if(m_queue, [&](const QueuedRequest& it) { return it.expiresAt <= now; });
+    for (const QueuedRequest& it : expired) {
         it.exchange->gone = nullptr;
         m_refuse(*it.exchange);
     }
@@ -76,10 +76,10 @@
 
 void EarlyRequests::arm()
 {
-    if (m_kept.empty())
+    if (m_queue.empty())
         return;
-    const auto first = std::min_element(m_kept.begin(), m_kept.end(), [](const Kept& a, const Kept& b) { return a.until < b.until; });
-    const timeval wait = base::toTimeval(std::max(first->until - base::steadyNow(), base::Duration { 1 }));
+    const auto first = std::min_element(m_queue.begin(), m_queue.end(), [](const QueuedRequest& a, const QueuedRequest& b) { return a.expiresAt < b.expiresAt; });
+    const timeval wait = base::toTimeval(std::max(first->expiresAt - base::steadyNow(), base::Duration { 1 }));
     event_add(m_timer, &wait);
 }
 
--- a/src/appletally/node/early_requests.h
+++ b/src/appletally/node/early_requests.h
@@ -1,11 +1,11 @@
-// Requests that reach a node while its configuration is on the way.
+// Queue of requests that reach a node before its configuration.
 //
-// Load pattern: all processes start again at once, and callers are back as soon as a node listens, a few tenths of a second
-// before control has proved which version may be in force. Refused, they come back half a second later as a second herd,
-// most of them too late, while upstreams idled; kept for a moment, they find all slots free.
+// Load pattern: all processes restart at once, and callers reconnect as soon as a node listens, a few tenths of a second
+// before control has proved which version may be applied. If refused, they all retry half a second later as a thundering
+// herd, most of them too late, while the upstreams were idle. Queued briefly, they find all slots free.
 //
-// Nothing is known of them but the time that they have left, so each waits for a small part of it only. Where no source of
-// configuration answers, nobody waits.
+// Only their remaining time is known, so each waits for a small part of it. Without a source of configuration that answers,
+// requests are refused immediately.
 #pragma once
 
 #include "appletally/http/caller_listener.h"
@@ -18,7 +18,7 @@
 
 class EarlyRequests {
 public:
-    using Serve = std::function<void(http::CallerExchange&, base::Time since)>;
+    using Serve = std::function<void(http::CallerExchange&, base::Time arrivedAt)>;
     using Refuse = std::function<void(http::CallerExchange&)>;
 
     EarlyRequests(event_base*, Serve, Refuse);
@@ -26,17 +26,18 @@
     EarlyRequests(const EarlyRequests&) = delete;
     EarlyRequests& operator=(const EarlyRequests&) = delete;
 
-    // False: it is not kept, and is the caller's to refuse. Takes over the exchange's `gone`.
-    bool keep(http::CallerExchange&, base::Duration timeLeft);
-    void serveAll(); // the configuration is there
+    // Returns false if the request was not queued and must be handled by the caller of this function. Sets the exchange's
+    // `gone` handler.
+    bool enqueue(http::CallerExchange&, base::Duration timeLeft);
+    void serveAll(); // the configuration has been applied
     void refuseAll();
-    void setExpected(bool); // a source answers, so the configuration is on its way
+    void setConfigurationExpected(bool); // a source of configuration answers
 
 private:
-    struct Kept {
-        http::CallerExchange* exchange; // not null; taken out when it is gone
-        base::Time since;
-        base::Time until;
+    struct QueuedRequest {
+        http::CallerExchange* exchange; // not null; removed when the caller disconnects
+        base::Time arrivedAt;
+        base::Time expiresAt;
     };
 
     void onTimer();
@@ -45,8 +46,8 @@
     Serve m_serve;
     Refuse m_refuse;
     event* m_timer;
-    std::vector<Kept> m_kept; // as they came
-    bool m_expected = false;
+    std::vector<QueuedRequest> m_queue; // in order of arrival
+    bool m_configurationExpected = false;
 };
 
 } // namespace appletally::node
--- a/src/appletally/node/ingress.cpp
+++ b/src/appletally/node/ingress.cpp
@@ -1,4 +1,4 @@
-// What a node's caller side knows: routes, upstreams, shares. Requests live in ingress_request.cpp and ingress_answer.cpp.
+// The ingress's view of routes, upstreams and version shares. Requests are handled in ingress_request.cpp and ingress_answer.cpp.
 #include "appletally/node/active_request.h"
 
 #include "appletally/base/log.h"
@@ -23,9 +23,9 @@
                   return route ? route->idempotent : (m_snapshot || request.method == "GET");
               },
               [this](http::CallerExchange& exchange) { onRequest(exchange); } })
-    , m_early(
-          loop, [this](http::CallerExchange& exchange, base::Time since) { serve(exchange, since); },
-          [this](http::CallerExchange& exchange) { refuse(exchange, base::Code::NotReady, "no proven configuration yet", startingPause); })
+    , m_earlyRequests(
+          loop, [this](http::CallerExchange& exchange, base::Time arrivedAt) { serve(exchange, arrivedAt); },
+          [this](http::CallerExchange& exchange) { refuse(exchange, base::Code::NotReady, "no proven configuration yet", startupRetryAfter); })
 {
 }
 
@@ -38,10 +38,10 @@
     m_snapshot = std::move(snapshot);
     m_index = config::buildRouteIndex(*m_snapshot);
     m_listener.setLimits(limitsOf(m_snapshot->callerLimits));
-    std::erase_if(m_longestAsked, [&](const auto& it) { return !m_snapshot->routes.contains(it.first); });
+    std::erase_if(m_longestTimeouts, [&](const auto& it) { return !m_snapshot->routes.contains(it.first); });
     std::erase_if(m_splitTurns, [&](const auto& it) { return !m_snapshot->routes.contains(it.first); });
     if (m_snapshot->rollouts.empty())
-        m_views.clear(); // views are of a rollout; versions of past ones must not pile up
+        m_versionViews.clear(); // kept per rollout; versions of past rollouts must not accumulate
     std::erase_if(m_stopped, [&](const auto& it) { return !config::rolloutRuns(*m_snapshot, it.first); });
     std::erase_if(m_routers, [&](const auto& it) { return !m_snapshot->services.contains(it.first); });
     for (const auto& [name, service] : m_snapshot->services) {
@@ -66,8 +66,8 @@
     return out;
 }
 
-// What control has not yet taken back but an owner's node has stopped gets nothing more from here: its refusals would
-// cost a round trip each, and more retries than any budget gives. Its share goes to the version that the rollout is from.
+// A version that an owner has stopped but control has not yet rolled back gets no more requests from this node: each refusal
+// would cost a round trip, and together more retries than any budget allows. Its share goes to the rollout's old version.
 void Ingress::setShares(const config::Service& service)
 {
     std::vector<config::VersionShare> shares = service.versions;
@@ -86,7 +86,7 @@
     policy::setShares(m_routers[service.name], shares, inner::randomNumber(), service.standIn);
 }
 
-void Ingress::stopVersion(const Active& it, const policy::Pick& pick)
+void Ingress::stopVersion(const ActiveRequest& it, const policy::Pick& pick)
 {
     const auto service = m_snapshot->services.find(it.route->service);
     if (service == m_snapshot->services.end() || !m_stopped[service->first].insert(pick.version).second)
@@ -100,7 +100,7 @@
     std::map<base::ServiceName, std::vector<config::Endpoint>> byService;
     for (const config::Endpoint& it : endpoints) {
         auto known = m_endpoints.find(it.host);
-        // A host's next upstream may belong to another service; the one before must not keep the host as a target.
+        // A host's new upstream may belong to another service; the previous service must not keep the host as a target.
         if (known != m_endpoints.end() && known->second.service != it.service) {
             config::Endpoint gone = known->second;
             gone.state = config::EndpointState::Gone;
@@ -121,8 +121,8 @@
     }
 }
 
-// An owner told of its own accord that it drains: no later call may go there, whatever the endpoint record still says.
-void Ingress::loadTold(const base::HostId& host, const policy::Load& load)
+// Unsolicited load report of an owner that drains: no later call may go there, even if the endpoint record is outdated.
+void Ingress::onLoadReported(const base::HostId& host, const policy::Load& load)
 {
     for (auto& [name, router] : m_routers)
         policy::loadTold(router, host, load, base::steadyNow());
@@ -142,7 +142,7 @@
     count("appletally_requests_total", "outcome=\"answered\"", m_counts.answered);
     count("appletally_requests_total", "outcome=\"refused\"", m_counts.refused);
     count("appletally_requests_total", "outcome=\"unknown\"", m_counts.unknown);
-    count("appletally_requests_total", "outcome=\"caller_left\"", m_counts.gone);
+    count("appletally_requests_total", "outcome=\"caller_left\"", m_counts.callerLeft);
     for (const auto& [by, n] : m_counts.refusedBy)
         count("appletally_requests_refused_total", ("service=\"" + by.first.text + "\",code=\"" + std::to_string(static_cast<int>(by.second)) + "\"").c_str(), n);
     count("appletally_request_tries_total", "kind=\"retry\"", m_counts.retried);
@@ -168,7 +168,7 @@
     const http::ListenerCounts& in = m_listener.counts();
     out["callers"] = { { "connections", in.connections }, { "requests", in.requests }, { "malformed", in.malformed }, { "tooLarge", in.tooLarge },
         { "tooSlow", in.tooSlow }, { "closedEarly", in.closedEarly }, { "turnedAway", in.turnedAway } };
-    out["counts"] = { { "answered", m_counts.answered }, { "refused", m_counts.refused }, { "unknown", m_counts.unknown }, { "retried", m_counts.retried }, { "hedged", m_counts.hedged }, { "shared", m_counts.shared }, { "gone", m_counts.gone } };
+    out["counts"] = { { "answered", m_counts.answered }, { "refused", m_counts.refused }, { "unknown", m_counts.unknown }, { "retried", m_counts.retried }, { "hedged", m_counts.hedged }, { "shared", m_counts.shared }, { "gone", m_counts.callerLeft } };
     out["underWay"] = m_calls.size();
     out["latencyMicros"] = m_latency.toJson();
     for (const auto& [host, it] : m_endpoints) {
--- a/src/appletally/node/ingress.h
+++ b/src/appletally/node/ingress.h
@@ -1,8 +1,8 @@
-// The caller's side: a caller's HTTP request comes in, is matched to a route, sent to an upstream's own node, tried
-// elsewhere where that is safe, and answered whole.
+// Ingress: accepts HTTP requests of callers, matches them to routes, sends them to the owner of an upstream, retries them
+// where that is safe, and returns complete answers.
 //
-// A non-idempotent request is sent once. It is tried elsewhere only after a proven "not run". Everything else that goes
-// wrong after it was sent is "outcome unknown", and the caller is told so.
+// A non-idempotent request is retried only after a proven "not run". Any other failure after it was sent is reported to the
+// caller as "outcome unknown".
 #pragma once
 
 #include "appletally/base/histogram.h"
@@ -28,22 +28,22 @@
 namespace appletally::node {
 
 struct IngressCounts {
-    uint64_t answered = 0; // whole answers, whatever their status
+    uint64_t answered = 0; // complete answers of any status
     uint64_t refused = 0; // proven "not run"
-    std::map<std::pair<base::ServiceName, base::Code>, uint64_t> refusedBy; // without a service: before one was chosen
-    uint64_t unknown = 0; // outcome unknown, cut or past the deadline
+    std::map<std::pair<base::ServiceName, base::Code>, uint64_t> refusedBy; // empty service: refused before one was chosen
+    uint64_t unknown = 0; // outcome unknown, truncated or deadline passed
     uint64_t retried = 0;
     uint64_t hedged = 0;
     uint64_t shared = 0; // answered by the run of an identical read
-    uint64_t gone = 0; // the caller went away first
+    uint64_t callerLeft = 0; // the caller disconnected before the answer
 };
 
-// What the settings say of the callers' side.
+// The ingress's part of the node settings.
 struct IngressSettings {
     base::HostId host;
     base::ZoneName zone;
-    base::ServiceName service; // beside this node: where the requests of its callers begin
-    http::ListenerLimits limits; // the configuration may name others
+    base::ServiceName service; // of the upstream beside this node; callers' requests enter the mesh under this name
+    http::ListenerLimits limits; // the configuration may override them
     Dialect dialect;
     CallFeatures features;
 };
@@ -58,68 +58,68 @@
     base::Result<base::Address> listen(const base::Address&);
     void apply(std::shared_ptr<const config::Snapshot>);
     void setEndpoints(const std::vector<config::Endpoint>&);
-    void loadTold(const base::HostId&, const policy::Load&);
-    void onSuspected(const base::HostId&); // reads under way there are tried elsewhere
-    void setConfigurationExpected(bool); // a source answers, though nothing may be in force yet
-    void open(); // there are a configuration and upstreams now: those who came early are served
-    void drain(); // answers close their connections from now on
-    void stop(); // takes no new connection; what is under way goes on
-    void answerAll(); // the process ends in a moment: what waits for an upstream gets its final answer now
+    void onLoadReported(const base::HostId&, const policy::Load&);
+    void onSuspected(const base::HostId&); // retries the reads that are active there elsewhere
+    void setConfigurationExpected(bool); // a source of configuration answers, even if no version has been applied yet
+    void open(); // configuration and upstreams are known: serves the queued early requests
+    void drain(); // answers close their connections from now on, so that callers move to another node
+    void stop(); // accepts no new connections; active requests continue
+    void answerPendingRequests(); // the process is about to exit: sends a final answer to every request that waits for an upstream
     bool idle() const { return m_calls.empty() && m_listener.quiet(); } // after stop()
     nlohmann::json toJson() const;
     void writeMetrics(base::MetricsText&) const;
 
 private:
-    struct Try;
-    struct Active;
+    struct Attempt;
+    struct ActiveRequest;
 
-    // ingress_request.cpp: from the caller to the tries
-    const config::Route* routeOf(const http::CallerRequest&) const; // null: none
+    // ingress_request.cpp: from the caller to the attempts
+    const config::Route* routeOf(const http::CallerRequest&) const; // null: no route matches
     size_t bodyLimit(const http::CallerRequest&) const;
     http::ListenerLimits limitsOf(const config::CallerLimits&) const;
     void reply(http::CallerExchange&, const base::Error&, bool notRun, bool stopsRetries);
     void onRequest(http::CallerExchange&);
-    void serve(http::CallerExchange&, base::Time since);
+    void serve(http::CallerExchange&, base::Time arrivedAt);
     void refuse(http::CallerExchange&, base::Code, const std::string& why, base::Duration retryAfter = {});
-    Active& begin(http::CallerExchange&, const config::Route&, uint8_t depth, base::Time since);
-    bool share(Active&); // true: an identical read of this caller is under way, and its answer will do
-    base::Duration waitedBefore(const Active&, base::Duration asked); // at other nodes, before this send
-    void send(Active&);
-    void startTry(Active&, const policy::Pick&, bool isHedge);
-    std::optional<policy::Pick> pickFor(const Active&);
-    void logSent(const Active&, const Try&) const;
-    void armHedge(Active&);
-    void onHedgeTimer(Active&);
-    void onTimer(Active&);
-    void leave(Active&); // the caller is gone
-    void abandon(Active&); // nobody wants the answer any more
-    Active* find(uint64_t id);
+    ActiveRequest& begin(http::CallerExchange&, const config::Route&, uint8_t depth, base::Time arrivedAt);
+    bool joinSharedRun(ActiveRequest&); // true: an identical read of this caller is active, and the request waits for its answer
+    base::Duration estimateEarlierWait(const ActiveRequest&, base::Duration requestedTimeout); // time that the caller has spent on earlier sends
+    void send(ActiveRequest&);
+    void startAttempt(ActiveRequest&, const policy::Pick&, bool isHedge);
+    std::optional<policy::Pick> pickFor(const ActiveRequest&);
+    void logSent(const ActiveRequest&, const Attempt&) const;
+    void armHedge(ActiveRequest&);
+    void onHedgeTimer(ActiveRequest&);
+    void onTimer(ActiveRequest&);
+    void onCallerGone(ActiveRequest&); // the caller disconnected
+    void abandon(ActiveRequest&); // no caller waits for the answer any more
+    ActiveRequest* find(uint64_t id);
 
-    // ingress_answer.cpp: from the tries to the caller
-    void onHead(Active&, Try&, const http::AnswerHead&);
-    void onBody(Active&, Try&, evbuffer*);
-    void onEnd(Active&, Try&, const CallEnd&);
-    void onDrained(Active&);
-    void startStream(Active&, Try&, evbuffer*);
-    void passCredit(Try&);
-    void onWhole(Active&, Try&);
-    void noteRefusal(Active&, const base::Error&);
-    void onNobodyLeft(Active&);
-    void onFailedTry(Active&, const base::Error&);
-    void giveHeld(Active&, const http::AnswerHead&, const std::string& body);
-    void giveUp(Active&, const base::Error&); // the final answer where there is none from an upstream
-    void proveNotRun(Active&, const base::Error&);
-    void onProof(Active&, const base::Error&, const policy::ClaimRound&);
-    void answerError(Active&, const base::Error&);
-    void cancelTry(Active&, Try&, policy::AnswerKind);
-    void cancelAll(Active&);
-    std::unique_ptr<Try> take(Active&, const Try&);
-    void settle(const Active&, const Try&, policy::AnswerKind, const CallEnd&);
-    void forget(Active&);
+    // ingress_answer.cpp: from the attempts to the caller
+    void onHead(ActiveRequest&, Attempt&, const http::AnswerHead&);
+    void onBody(ActiveRequest&, Attempt&, evbuffer*);
+    void onEnd(ActiveRequest&, Attempt&, const CallEnd&);
+    void onDrained(ActiveRequest&);
+    void startStream(ActiveRequest&, Attempt&, evbuffer*);
+    void sendCredit(Attempt&);
+    void onCompleteAnswer(ActiveRequest&, Attempt&);
+    void recordRefusal(ActiveRequest&, const base::Error&);
+    void onNoUpstreamLeft(ActiveRequest&);
+    void onFailedAttempt(ActiveRequest&, const base::Error&);
+    void replyBuffered(ActiveRequest&, const http::AnswerHead&, const std::string& body);
+    void failRequest(ActiveRequest&, const base::Error&); // sends the final answer when no upstream has answered
+    void verifyNotRun(ActiveRequest&, const base::Error&);
+    void onNotRunVerified(ActiveRequest&, const base::Error&, const policy::ClaimRound&);
+    void answerError(ActiveRequest&, const base::Error&);
+    void cancelAttempt(ActiveRequest&, Attempt&, policy::AnswerKind);
+    void cancelAll(ActiveRequest&);
+    std::unique_ptr<Attempt> detachAttempt(ActiveRequest&, const Attempt&);
+    void recordOutcome(const ActiveRequest&, const Attempt&, policy::AnswerKind, const CallEnd&);
+    void removeRequest(ActiveRequest&);
 
-    void view(const Active&, const Try&, bool failed, int64_t runMicros);
-    std::optional<policy::CallerBaseline> baselineFor(const Active&, const policy::Pick&) const;
-    void stopVersion(const Active&, const policy::Pick&);
+    void updateVersionView(const ActiveRequest&, const Attempt&, bool failed, int64_t runMicros);
+    std::optional<policy::CallerBaseline> baselineFor(const ActiveRequest&, const policy::Pick&) const;
+    void stopVersion(const ActiveRequest&, const policy::Pick&);
     void setShares(const config::Service&);
 
     event_base* m_loop;
@@ -128,25 +128,25 @@
     Peers* m_peers;
     Claims* m_claims;
     http::CallerListener m_listener;
-    EarlyRequests m_early; // empty once m_open
-    bool m_open = false; // a configuration is in force and upstreams are known
+    EarlyRequests m_earlyRequests; // empty once m_open is set
+    bool m_open = false; // a configuration is applied and upstreams are known
     std::shared_ptr<const config::Snapshot> m_snapshot;
-    config::RouteIndex m_index; // into m_snapshot
+    config::RouteIndex m_index; // points into m_snapshot
     std::map<base::ServiceName, policy::Router> m_routers;
-    std::map<base::ServiceName, std::set<base::UpstreamVersion>> m_stopped; // by an owner's own verdict, as long as the rollout lasts
+    std::map<base::ServiceName, std::set<base::UpstreamVersion>> m_stopped; // versions that an owner stopped locally; kept while the rollout runs
     std::map<base::HostId, config::Endpoint> m_endpoints;
     std::map<base::ServiceName, policy::RetryBudget> m_retries;
     std::map<base::ServiceName, policy::HedgeBudget> m_hedges;
     std::map<base::RouteName, policy::SlowAnswer> m_slowAnswers;
-    std::map<std::pair<base::RouteName, base::UpstreamVersion>, policy::VersionView> m_views;
+    std::map<std::pair<base::RouteName, base::UpstreamVersion>, policy::VersionView> m_versionViews;
     std::map<base::RouteName, policy::SplitTurns> m_splitTurns;
-    std::map<base::RouteName, base::Duration> m_longestAsked; // by callers, of routes in force
+    std::map<base::RouteName, base::Duration> m_longestTimeouts; // longest timeout requested by callers, for routes of the applied configuration
     policy::Collapse m_collapse;
-    std::map<uint64_t, std::unique_ptr<Active>> m_calls;
+    std::map<uint64_t, std::unique_ptr<ActiveRequest>> m_calls;
     base::LatencyHistogram m_latency;
     IngressCounts m_counts;
     uint64_t m_lastId = 0;
-    uint64_t m_lastTry = 0;
+    uint64_t m_lastAttemptNumber = 0;
 };
 
 } // namespace appletally::node
--- a/src/appletally/node/ingress_answer.cpp
+++ b/src/appletally/node/ingress_answer.cpp
@@ -1,4 +1,4 @@
-// What comes back from a request's tries, and what its caller gets of it.
+// Handles the results of a request's attempts and answers the caller.
 #include "appletally/node/active_request.h"
 
 #include "appletally/base/log.h"
@@ -14,112 +14,112 @@
 using base::Duration;
 using policy::AnswerKind;
 
-void Ingress::onHead(Active&, Try& tried, const http::AnswerHead& head)
+void Ingress::onHead(ActiveRequest&, Attempt& attempt, const http::AnswerHead& head)
 {
-    tried.head = head;
-    if (head.length > 0 && head.length <= heldAnswerBytes)
-        tried.held.reserve(static_cast<size_t>(head.length));
+    attempt.head = head;
+    if (head.length > 0 && head.length <= maxBufferedAnswerBytes)
+        attempt.bufferedBody.reserve(static_cast<size_t>(head.length));
 }
 
-void Ingress::onBody(Active& it, Try& tried, evbuffer* buf)
+void Ingress::onBody(ActiveRequest& it, Attempt& attempt, evbuffer* buf)
 {
     const size_t n = evbuffer_get_length(buf);
-    tried.bodyBytes += n;
-    tried.uncredited += n;
+    attempt.bodyBytes += n;
+    attempt.uncreditedBytes += n;
     if (it.streaming) {
         it.exchange->streamBody(buf);
-        if (it.exchange->backlog() < bodyWindow / 2)
-            passCredit(tried);
+        if (it.exchange->backlog() < bodyWindowBytes / 2)
+            sendCredit(attempt);
         return;
     }
-    const int64_t size = tried.head->length >= 0 ? tried.head->length : static_cast<int64_t>(tried.bodyBytes);
-    if (size > heldAnswerBytes)
-        return startStream(it, tried, buf);
-    const size_t before = tried.held.size();
-    tried.held.resize(before + n);
-    evbuffer_remove(buf, tried.held.data() + before, n);
-    passCredit(tried);
+    const int64_t size = attempt.head->length >= 0 ? attempt.head->length : static_cast<int64_t>(attempt.bodyBytes);
+    if (size > maxBufferedAnswerBytes)
+        return startStream(it, attempt, buf);
+    const size_t before = attempt.bufferedBody.size();
+    attempt.bufferedBody.resize(before + n);
+    evbuffer_remove(buf, attempt.bufferedBody.data() + before, n);
+    sendCredit(attempt);
 }
 
-// From here on this try is the answer: any other copy ends, and whoever shared the run makes one of its own.
-void Ingress::startStream(Active& it, Try& tried, evbuffer* buf)
+// Commits to this attempt: cancels any other copy, and requests that shared the run are sent on their own.
+void Ingress::startStream(ActiveRequest& it, Attempt& attempt, evbuffer* buf)
 {
-    const std::vector<policy::RequestId> wanting = policy::ended(m_collapse, { it.id });
-    for (const policy::RequestId& id : wanting) {
-        Active* other = id.value == it.id ? nullptr : find(id.value);
+    const std::vector<policy::RequestId> sharers = policy::ended(m_collapse, { it.id });
+    for (const policy::RequestId& id : sharers) {
+        ActiveRequest* other = id.value == it.id ? nullptr : find(id.value);
         if (other)
             send(*other);
     }
     if (!it.exchange)
         return abandon(it);
-    const auto winner = tried.number;
-    for (size_t n = it.underWay.size(); n-- > 0;) {
-        if (it.underWay[n]->number != winner)
-            cancelTry(it, *it.underWay[n], AnswerKind::Cancelled);
+    const auto winner = attempt.number;
+    for (size_t n = it.activeAttempts.size(); n-- > 0;) {
+        if (it.activeAttempts[n]->number != winner)
+            cancelAttempt(it, *it.activeAttempts[n], AnswerKind::Cancelled);
     }
     it.streaming = true;
-    it.exchange->startStream(tried.head->status, answerHeaders(*tried.head), tried.head->length);
+    it.exchange->startStream(attempt.head->status, answerHeaders(*attempt.head), attempt.head->length);
     evbuffer* all = evbuffer_new();
-    evbuffer_add(all, tried.held.data(), tried.held.size());
+    evbuffer_add(all, attempt.bufferedBody.data(), attempt.bufferedBody.size());
     evbuffer_add_buffer(all, buf);
-    tried.held = {};
+    attempt.bufferedBody = {};
     it.exchange->streamBody(all);
     evbuffer_free(all);
-    if (it.exchange->backlog() < bodyWindow / 2)
-        passCredit(tried);
+    if (it.exchange->backlog() < bodyWindowBytes / 2)
+        sendCredit(attempt);
 }
 
-void Ingress::passCredit(Try& tried)
+void Ingress::sendCredit(Attempt& attempt)
 {
-    if (tried.uncredited == 0)
+    if (attempt.uncreditedBytes == 0)
         return;
-    if (tried.local)
-        m_owner->consumed(tried.callId, tried.uncredited);
+    if (attempt.local)
+        m_owner->consumed(attempt.callId, attempt.uncreditedBytes);
     else
-        m_peers->consumed(tried.callId, tried.uncredited);
-    tried.uncredited = 0;
+        m_peers->consumed(attempt.callId, attempt.uncreditedBytes);
+    attempt.uncreditedBytes = 0;
 }
 
-void Ingress::onDrained(Active& it)
+void Ingress::onDrained(ActiveRequest& it)
 {
-    for (const auto& tried : it.underWay)
-        passCredit(*tried);
+    for (const auto& attempt : it.activeAttempts)
+        sendCredit(*attempt);
 }
 
-void Ingress::settle(const Active& it, const Try& tried, AnswerKind kind, const CallEnd& end)
+void Ingress::recordOutcome(const ActiveRequest& it, const Attempt& attempt, AnswerKind kind, const CallEnd& end)
 {
     const base::Time now = base::steadyNow();
-    const Duration took = now - tried.sentAt;
-    policy::answered(m_routers[it.call.service], { tried.pick.host, it.route->name, kind, took, end.load, { tried.bodyBytes }, Duration { end.runMicros / 1000 }, end.usualRun }, now);
-    // A first try that lost against its copy counts as well, or the slowest would be missing from the estimate.
-    const bool lostToHedge = kind == AnswerKind::Cancelled && it.tries == 2 && it.underWay.size() > 0;
-    if (!tried.isHedge && (kind == AnswerKind::Good || lostToHedge))
+    const Duration took = now - attempt.sentAt;
+    policy::answered(m_routers[it.call.service], { attempt.pick.host, it.route->name, kind, took, end.load, { attempt.bodyBytes }, Duration { end.runMicros / 1000 }, end.usualRun }, now);
+    // A first attempt that lost to its hedge counts too; otherwise the slowest would be missing from the estimate.
+    const bool lostToHedge = kind == AnswerKind::Cancelled && it.attemptCount == 2 && it.activeAttempts.size() > 0;
+    if (!attempt.isHedge && (kind == AnswerKind::Good || lostToHedge))
         policy::observe(m_slowAnswers[it.route->name], took);
 }
 
-std::unique_ptr<Ingress::Try> Ingress::take(Active& it, const Try& tried)
+std::unique_ptr<Ingress::Attempt> Ingress::detachAttempt(ActiveRequest& it, const Attempt& attempt)
 {
-    auto found = std::find_if(it.underWay.begin(), it.underWay.end(), [&](const auto& candidate) { return candidate.get() == &tried; });
+    auto found = std::find_if(it.activeAttempts.begin(), it.activeAttempts.end(), [&](const auto& candidate) { return candidate.get() == &attempt; });
     auto out = std::move(*found);
-    it.underWay.erase(found);
+    it.activeAttempts.erase(found);
     return out;
 }
 
-void Ingress::cancelTry(Active& it, Try& tried, AnswerKind kind)
+void Ingress::cancelAttempt(ActiveRequest& it, Attempt& attempt, AnswerKind kind)
 {
-    if (tried.local)
-        m_owner->cancel(tried.callId);
+    if (attempt.local)
+        m_owner->cancel(attempt.callId);
     else
-        m_peers->cancel(tried.callId);
-    const auto ending = take(it, tried);
-    settle(it, *ending, kind, {});
+        m_peers->cancel(attempt.callId);
+    const auto ending = detachAttempt(it, attempt);
+    recordOutcome(it, *ending, kind, {});
 }
 
-void Ingress::cancelAll(Active& it)
+void Ingress::cancelAll(ActiveRequest& it)
 {
     const bool late = base::steadyNow() >= it.call.deadline;
-    while (!it.underWay.empty())
-        cancelTry(it, *it.underWay.back(), late ? AnswerKind::Silent : AnswerKind::Cancelled);
+    while (!it.activeAttempts.empty())
+        cancelAttempt(it, *it.activeAttempts.back(), late ? AnswerKind::Silent : AnswerKind::Cancelled);
 }
 
 static AnswerKind kindOf(const base::Error& error)
@@ -131,105 +131,105 @@
     return base::info(error.code).notRun ? AnswerKind::Refused : AnswerKind::Failed;
 }
 
-void Ingress::onEnd(Active& it, Try& tried, const CallEnd& end)
+void Ingress::onEnd(ActiveRequest& it, Attempt& attempt, const CallEnd& end)
 {
     std::optional<base::Error> error = end.error;
-    if (!error && !tried.head)
-        error = base::fail(Code::AnswerCut, "an end without a beginning");
-    if (!error && tried.head->length >= 0 && it.call.method != "HEAD" && tried.bodyBytes != static_cast<uint64_t>(tried.head->length))
-        error = base::fail(Code::AnswerCut, "the answer is shorter or longer than it said");
-    const auto ending = take(it, tried);
+    if (!error && !attempt.head)
+        error = base::fail(Code::AnswerCut, "the answer ended without a head");
+    if (!error && attempt.head->length >= 0 && it.call.method != "HEAD" && attempt.bodyBytes != static_cast<uint64_t>(attempt.head->length))
+        error = base::fail(Code::AnswerCut, "the length of the body differs from its Content-Length");
+    const auto ending = detachAttempt(it, attempt);
     if (!error || !base::info(error->code).notRun)
-        view(it, *ending, error || ending->head->status >= 500, end.runMicros);
+        updateVersionView(it, *ending, error || ending->head->status >= 500, end.runMicros);
     if (!error) {
-        settle(it, *ending, ending->head->status >= 500 ? AnswerKind::Failed : AnswerKind::Good, end);
-        return onWhole(it, *ending);
+        recordOutcome(it, *ending, ending->head->status >= 500 ? AnswerKind::Failed : AnswerKind::Good, end);
+        return onCompleteAnswer(it, *ending);
     }
-    settle(it, *ending, kindOf(*error), end);
+    recordOutcome(it, *ending, kindOf(*error), end);
     it.mayHaveRun |= !base::info(error->code).notRun;
     if (error->code == Code::VersionTakenBack)
         stopVersion(it, ending->pick);
-    if (it.underWay.empty())
-        onFailedTry(it, *error); // else the other copy decides
+    if (it.activeAttempts.empty())
+        onFailedAttempt(it, *error); // otherwise the other attempt decides
 }
 
-void Ingress::view(const Active& it, const Try& tried, bool failed, int64_t runMicros)
+void Ingress::updateVersionView(const ActiveRequest& it, const Attempt& attempt, bool failed, int64_t runMicros)
 {
     for (const auto& [id, rollout] : it.snapshot->rollouts) {
         if (rollout.service != it.call.service)
             continue;
-        const base::UpstreamVersion& other = tried.pick.version == rollout.to ? rollout.from : rollout.to;
-        policy::observe(m_views[{ it.route->name, tried.pick.version }], failed, Duration { runMicros / 1000 }, m_views[{ it.route->name, other }].answers);
+        const base::UpstreamVersion& other = attempt.pick.version == rollout.to ? rollout.from : rollout.to;
+        policy::observe(m_versionViews[{ it.route->name, attempt.pick.version }], failed, Duration { runMicros / 1000 }, m_versionViews[{ it.route->name, other }].answers);
     }
 }
 
-void Ingress::onWhole(Active& it, Try& tried)
+void Ingress::onCompleteAnswer(ActiveRequest& it, Attempt& attempt)
 {
     cancelAll(it);
     ++m_counts.answered;
-    m_latency.add(base::steadyMicros() - it.beganMicros);
+    m_latency.add(base::steadyMicros() - it.startedMicros);
     base::logRequest(base::Event::RequestAnswered, it.name,
-        { { "route", it.route->name.text }, { "upstream", tried.pick.host.text }, { "status", tried.head->status }, { "took_ms", (base::steadyNow() - it.began).ms }, { "tries", it.tries } });
+        { { "route", it.route->name.text }, { "upstream", attempt.pick.host.text }, { "status", attempt.head->status }, { "took_ms", (base::steadyNow() - it.startedAt).ms }, { "tries", it.attemptCount } });
     if (it.streaming) {
         it.exchange->gone = nullptr;
         it.exchange->drained = nullptr;
         it.exchange->endStream();
-        return forget(it);
+        return removeRequest(it);
     }
     for (const policy::RequestId& id : policy::ended(m_collapse, { it.id })) {
-        Active* other = id.value == it.id ? nullptr : find(id.value);
+        ActiveRequest* other = id.value == it.id ? nullptr : find(id.value);
         if (!other)
             continue;
         ++m_counts.shared;
-        giveHeld(*other, *tried.head, tried.held);
+        replyBuffered(*other, *attempt.head, attempt.bufferedBody);
     }
     if (it.exchange)
-        giveHeld(it, *tried.head, tried.held);
+        replyBuffered(it, *attempt.head, attempt.bufferedBody);
     else
-        forget(it);
+        removeRequest(it);
 }
 
-void Ingress::giveHeld(Active& it, const http::AnswerHead& head, const std::string& body)
+void Ingress::replyBuffered(ActiveRequest& it, const http::AnswerHead& head, const std::string& body)
 {
     it.exchange->gone = nullptr;
     it.exchange->drained = nullptr;
     it.exchange->reply(head.status, answerHeaders(head), body);
-    forget(it);
+    removeRequest(it);
 }
 
-// The first reason is the caller's to hear; when to come back, whoever has room first says.
-void Ingress::noteRefusal(Active& it, const base::Error& error)
+// The caller gets the reason of the first refusal, with the shortest Retry-After of all refusals.
+void Ingress::recordRefusal(ActiveRequest& it, const base::Error& error)
 {
     if (!base::info(error.code).notRun)
         return;
-    if (!it.refusal)
-        it.refusal = error;
-    else if (error.retryAfter.ms > 0 && (it.refusal->retryAfter.ms == 0 || error.retryAfter < it.refusal->retryAfter))
-        it.refusal->retryAfter = error.retryAfter;
+    if (!it.firstRefusal)
+        it.firstRefusal = error;
+    else if (error.retryAfter.ms > 0 && (it.firstRefusal->retryAfter.ms == 0 || error.retryAfter < it.firstRefusal->retryAfter))
+        it.firstRefusal->retryAfter = error.retryAfter;
 }
 
-// That nobody else is left says less than what the first one refused it for, and when to come back.
-void Ingress::onNobodyLeft(Active& it)
+// Reports the first refusal rather than NoUpstream, since its reason and Retry-After are more useful.
+void Ingress::onNoUpstreamLeft(ActiveRequest& it)
 {
     event_del(it.hedgeTimer);
-    base::Error last = it.refusal.value_or(base::fail(Code::NoUpstream, "no upstream of " + it.call.service.text + " can take it", startingPause));
+    base::Error last = it.firstRefusal.value_or(base::fail(Code::NoUpstream, "no upstream of " + it.call.service.text + " is available", startupRetryAfter));
     last.code = policy::finalCode(it.mayHaveRun, last.code);
-    giveUp(it, last);
+    failRequest(it, last);
 }
 
-void Ingress::onFailedTry(Active& it, const base::Error& error)
+void Ingress::onFailedAttempt(ActiveRequest& it, const base::Error& error)
 {
     event_del(it.hedgeTimer);
     if (it.streaming) {
         ++m_counts.unknown;
         it.exchange->abort();
-        return forget(it);
+        return removeRequest(it);
     }
-    noteRefusal(it, error);
+    recordRefusal(it, error);
     policy::FailedTry failed;
     failed.idempotent = it.route->idempotent;
     failed.code = error.code;
-    failed.tries = it.tries;
+    failed.tries = it.attemptCount;
     failed.deadline = it.call.deadline;
     failed.expected = it.route->expected;
     failed.mostTries = it.route->mostAttempts;
@@ -237,64 +237,66 @@
     if (!decision.retry) {
         base::Error last = error;
         last.code = policy::finalCode(it.mayHaveRun, decision.code);
-        if (it.refusal)
-            last.retryAfter = it.refusal->retryAfter;
-        return giveUp(it, last);
+        if (it.firstRefusal)
+            last.retryAfter = it.firstRefusal->retryAfter;
+        return failRequest(it, last);
     }
     ++m_counts.retried;
     base::logRequest(base::Event::RequestTriedAgain, it.name,
-        { { "code", static_cast<int64_t>(error.code) }, { "why", error.text }, { "tries", it.tries }, { "after_ms", decision.after.ms }, { "budget_thousandths", m_retries[it.call.service].tokens } });
+        { { "code", static_cast<int64_t>(error.code) }, { "why", error.text }, { "tries", it.attemptCount }, { "after_ms", decision.after.ms }, { "budget_thousandths", m_retries[it.call.service].tokens } });
     if (decision.after.ms <= 0)
         return send(it);
-    it.waitsToRetry = true;
+    it.retryPending = true;
     const timeval wait = base::toTimeval(decision.after);
     event_add(it.timer, &wait);
 }
 
-// A stop ends at its bound, whoever still waits. An answer may be stuck behind others on a crowded line for seconds; cut off
-// without a word the caller learns nothing and its connection just ends, told now it knows that the outcome is unknown.
-void Ingress::answerAll()
+// The process exits at the graceful shutdown timeout even if requests are active: an answer may be delayed for seconds behind
+// others on a congested link. A final answer tells the caller that the outcome is unknown; otherwise its connection would
+// just close.
+void Ingress::answerPendingRequests()
 {
     std::vector<uint64_t> open;
     for (const auto& [id, it] : m_calls)
         open.push_back(id);
     for (const uint64_t id : open) {
-        Active* it = find(id);
+        ActiveRequest* it = find(id);
         if (!it || it->streaming || !it->exchange)
             continue;
-        const bool mayHaveRun = it->mayHaveRun || !it->underWay.empty();
+        const bool mayHaveRun = it->mayHaveRun || !it->activeAttempts.empty();
         cancelAll(*it);
-        giveUp(*it, mayHaveRun ? base::fail(Code::OutcomeUnknown, "this node ends before the answer is here") : base::fail(Code::Draining, "this node ends"));
+        failRequest(*it, mayHaveRun ? base::fail(Code::OutcomeUnknown, "this node stopped before the answer arrived") : base::fail(Code::Draining, "this node is stopping"));
     }
 }
 
-void Ingress::giveUp(Active& it, const base::Error& error)
+void Ingress::failRequest(ActiveRequest& it, const base::Error& error)
 {
-    // What was refused for all is refused for those who share the run; after anything else each makes a run of its own.
+    // A refusal applies to all requests that share the run; after any other failure each of them is sent on its own.
     const bool notRun = base::info(error.code).notRun;
-    const auto wanting = it.waitsForRun ? std::vector<policy::RequestId> {} : policy::ended(m_collapse, { it.id });
-    if (it.waitsForRun)
+    const auto sharers = it.awaitingSharedRun ? std::vector<policy::RequestId> {} : policy::ended(m_collapse, { it.id });
+    if (it.awaitingSharedRun)
         policy::left(m_collapse, { it.id });
-    for (const policy::RequestId& id : wanting) {
-        Active* other = id.value == it.id ? nullptr : find(id.value);
+    for (const policy::RequestId& id : sharers) {
+        ActiveRequest* other = id.value == it.id ? nullptr : find(id.value);
         if (other && notRun)
             answerError(*other, error);
-        else if (other && !share(*other))
+        else if (other && !joinSharedRun(*other))
             send(*other);
     }
     if (!it.exchange)
-        return forget(it);
+        return removeRequest(it);
     const bool keyed = m_settings.features.claims && !it.route->idempotent && !it.call.key.empty();
-    const bool askedKeepers = error.code == Code::NoKeepers || error.code == Code::KeyReusedDifferently;
-    if (keyed && notRun && !askedKeepers)
-        return proveNotRun(it, error);
+    const bool keepersQueried = error.code == Code::NoKeepers || error.code == Code::KeyReusedDifferently;
+    if (keyed && notRun && !keepersQueried)
+        return verifyNotRun(it, error);
     answerError(it, error);
 }
 
-// This send did not run, but the caller may have sent its key before, lost the answer, and now read "not run" as leave
-// to send it under a new key: then it runs twice. So the key's keepers are asked. A claim that is granted and given back
-// proves that none has run; a recorded answer is better than any refusal; else the outcome stays unknown.
-void Ingress::proveNotRun(Active& it, const base::Error& error)
+// This send did not run, but an earlier send with the same key may have run and its answer may have been lost. If the caller
+// gets "not run", it might resend under a new key, and the request would run twice. So a claim is requested from the keepers:
+// if it is granted (and then released), no send has run; a recorded answer is returned instead of the refusal; otherwise the
+// outcome remains unknown.
+void Ingress::verifyNotRun(ActiveRequest& it, const base::Error& error)
 {
     event_del(it.timer);
     const uint64_t id = it.id;
@@ -305,11 +307,11 @@
                 m_claims->end(*claim, policy::ClaimEnd::NotStarted, {});
             auto found = m_calls.find(id);
             if (found != m_calls.end())
-                onProof(*found->second, error, round);
+                onNotRunVerified(*found->second, error, round);
         });
 }
 
-void Ingress::onProof(Active& it, const base::Error& error, const policy::ClaimRound& round)
+void Ingress::onNotRunVerified(ActiveRequest& it, const base::Error& error, const policy::ClaimRound& round)
 {
     const bool recorded = round.decision == policy::ClaimDecision::AnswerRecorded && round.outcome->bodyKept;
     if (!recorded) {
@@ -322,7 +324,7 @@
         head.headers.push_back({ name, value });
     head.headers.push_back({ "Appletally-Recorded", "1" });
     ++m_counts.answered;
-    giveHeld(it, head, round.outcome->body);
+    replyBuffered(it, head, round.outcome->body);
 }
 
 void Ingress::reply(http::CallerExchange& exchange, const base::Error& error, bool notRun, bool stopsRetries)
@@ -330,24 +332,24 @@
     replyError(exchange, m_settings.dialect, error, notRun, stopsRetries);
 }
 
-void Ingress::answerError(Active& it, const base::Error& error)
+void Ingress::answerError(ActiveRequest& it, const base::Error& error)
 {
     const bool notRun = base::info(error.code).notRun;
     ++(notRun ? m_counts.refused : m_counts.unknown);
     if (notRun)
         ++m_counts.refusedBy[{ it.call.service, error.code }];
     base::logRequest(notRun ? base::Event::RequestRefused : base::Event::OutcomeLost, it.name,
-        { { "route", it.route->name.text }, { "code", static_cast<int64_t>(error.code) }, { "why", error.text }, { "tries", it.tries }, { "took_ms", (base::steadyNow() - it.began).ms },
+        { { "route", it.route->name.text }, { "code", static_cast<int64_t>(error.code) }, { "why", error.text }, { "tries", it.attemptCount }, { "took_ms", (base::steadyNow() - it.startedAt).ms },
             { "left_ms", (it.call.deadline - base::steadyNow()).ms }, { "retry_after_ms", error.retryAfter.ms }, { "config_version", static_cast<int64_t>(it.snapshot->version.value) } });
     it.exchange->gone = nullptr;
     it.exchange->drained = nullptr;
     reply(*it.exchange, error, notRun, policy::stopsRetriesAbove(error.code));
-    forget(it);
+    removeRequest(it);
 }
 
-void Ingress::forget(Active& it)
+void Ingress::removeRequest(ActiveRequest& it)
 {
-    // A request that leaves by another way than its answer must not stay as a run that others wait for.
+    // A request that ends without an answer must not remain registered as a run that others wait for.
     policy::left(m_collapse, { it.id });
     m_calls.erase(it.id);
 }
--- a/src/appletally/node/ingress_reply.cpp
+++ b/src/appletally/node/ingress_reply.cpp
@@ -1,11 +1,11 @@
-// Headers and bodies of answers to callers.
+// Builds headers and bodies of answers to callers.
 #include "appletally/node/ingress_reply.h"
 
 #include <charconv>
 
 namespace appletally::node {
 
-static std::string secondsText(base::Duration it, bool fractional)
+static std::string formatSeconds(base::Duration it, bool fractional)
 {
     if (!fractional)
         return std::to_string((it.ms + 999) / 1000);
@@ -19,7 +19,7 @@
     if (notRun)
         headers.push_back({ names.notRun, "1" });
     if (error.retryAfter.ms > 0) {
-        headers.push_back({ "Retry-After", secondsText(error.retryAfter, names.fractionalRetryAfter) });
+        headers.push_back({ "Retry-After", formatSeconds(error.retryAfter, names.fractionalRetryAfter) });
         headers.push_back({ "Appletally-Retry-After-Ms", std::to_string(error.retryAfter.ms) });
     }
     if (stopsRetries)
@@ -38,7 +38,7 @@
     return out;
 }
 
-int64_t numberIn(const std::string* text, int64_t fallback)
+int64_t headerNumber(const std::string* text, int64_t fallback)
 {
     int64_t out = fallback;
     if (text)
--- a/src/appletally/node/ingress_reply.h
+++ b/src/appletally/node/ingress_reply.h
@@ -1,4 +1,4 @@
-// What callers see: headers of answers, and refusals as a small JSON object.
+// Formats answers to callers: headers of forwarded answers, and errors as a small JSON object.
 #pragma once
 
 #include "appletally/http/caller_listener.h"
@@ -10,13 +10,13 @@
 
 namespace appletally::node {
 
-// `notRun`: proven, of this send and of every earlier one with the same key. `stopsRetries`: the layer above must not
-// try again, since this layer has done what can be done.
+// `notRun`: proven for this send and for every earlier one with the same key. `stopsRetries`: the layer above must not
+// retry, since this layer has already made all useful attempts.
 void replyError(http::CallerExchange&, const Dialect&, const base::Error&, bool notRun, bool stopsRetries);
 
-// The upstream's headers without those that belong to one connection, and the result code.
+// The upstream's headers without hop-by-hop fields, with the result code added.
 std::vector<http::HeaderField> answerHeaders(const http::AnswerHead&);
 
-int64_t numberIn(const std::string* text, int64_t fallback); // of a header; what is no number is passed over
+int64_t headerNumber(const std::string* text, int64_t fallback); // value of a header field; `fallback` if it is missing or not a number
 
 } // namespace appletally::node
--- a/src/appletally/node/node.cpp
+++ b/src/appletally/node/node.cpp
@@ -1,4 +1,4 @@
-// Ties the parts of a node together and follows what control says.
+// Connects the parts of a node and applies the messages of control.
 #include "appletally/node/node.h"
 
 #include "appletally/base/log.h"
@@ -14,18 +14,19 @@
 using base::Event;
 using config::EndpointState;
 
-constexpr Duration tickEvery { 50 };
+constexpr Duration tickInterval { 50 };
 
-// A stopping node's upstream goes on beside it. Taken out for the whole stop, a service of three that is restarted one
-// after the other had none left for a second; other nodes hear of it within a tenth of this.
-constexpr Duration ownerDrainsBefore { 500 };
+// The upstream announces draining only this long before the end of drainTime. It keeps running while its node stops; if it
+// drained for the whole stop, a service of three restarted one after the other had no upstream for a second. Other nodes
+// learn of the draining within a tenth of this time.
+constexpr Duration ownerDrainLead { 500 };
 
-// Before the end of a stop that does not wait any longer: time for the last answers to reach their callers.
-constexpr Duration lastAnswersBefore { 300 };
+// Final answers are sent this long before the graceful shutdown timeout, so that they can reach their callers.
+constexpr Duration finalAnswersLead { 300 };
 
 static base::Incarnation freshIncarnation()
 {
-    // Later starts are higher; the low bits tell two starts within one millisecond apart.
+    // Increases with each start; the random low bits distinguish two starts within one millisecond.
     return { static_cast<uint64_t>(base::wallNow().ms) << 16 | (inner::randomNumber() & 0xffff) };
 }
 
@@ -35,12 +36,12 @@
     , m_fromControl(&fromControl)
     , m_toControl(std::move(toControl))
     , m_incarnation(freshIncarnation())
-    , m_peers(loop, m_settings.membership, { [this](const base::HostId& host, const policy::Load& load) { m_ingress.loadTold(host, load); }, [this](const base::HostId& host) { m_ingress.onSuspected(host); } })
+    , m_peers(loop, m_settings.membership, { [this](const base::HostId& host, const policy::Load& load) { m_ingress.onLoadReported(host, load); }, [this](const base::HostId& host) { m_ingress.onSuspected(host); } })
     , m_claims(loop, m_settings.membership.host, m_incarnation, m_peers)
     , m_owner(loop, { m_settings.membership.host, m_incarnation, m_settings.dialect, m_settings.features, m_settings.admission, m_settings.announcementTimeout }, m_claims,
           { [this] { announceEndpoint(); }, [this](const policy::Load& load) {
-               m_ownerLinks.tell(load);
-               m_ingress.loadTold(m_settings.membership.host, load); } })
+               m_ownerLinks.broadcastLoad(load);
+               m_ingress.onLoadReported(m_settings.membership.host, load); } })
     , m_ownerLinks(loop, m_settings.membership, m_owner, [this](const base::HostId&, const std::string& body, const OwnerLinks::Answer& answer) { answer(m_claims.receive(body)); })
     , m_ingress(loop, { m_settings.membership.host, m_settings.zone, m_settings.service, m_settings.limits, m_settings.dialect, m_settings.features }, m_owner, m_peers, m_claims)
     , m_announcePort(loop, [this](const Announcement& it) { m_owner.announce(it); })
@@ -50,7 +51,7 @@
     event_add(m_controlReadable, nullptr);
     m_tick = event_new(
         loop, -1, EV_PERSIST, [](evutil_socket_t, short, void* self) { static_cast<Node*>(self)->onTick(); }, this);
-    const timeval every = base::toTimeval(tickEvery);
+    const timeval every = base::toTimeval(tickInterval);
     event_add(m_tick, &every);
 }
 
@@ -65,7 +66,7 @@
     const auto inner = m_ownerLinks.listen(m_settings.inner);
     if (!inner)
         return inner.error();
-    if (!m_settings.announce.ip.empty()) { // else the upstream speaks at a port of another kind
+    if (!m_settings.announce.ip.empty()) { // otherwise the upstream uses an ExtraPort
         const auto announce = m_announcePort.listen(m_settings.announce);
         if (!announce)
             return announce.error();
@@ -87,7 +88,7 @@
 
 void Node::onMessage(const inner::SnapshotReleased& message)
 {
-    // The link never sends a lower version; a node that went back would undo what an operator was told is in force.
+    // The link never sends a lower version; going back would undo a version that was reported to an operator as applied.
     if (m_snapshot && message.snapshot->version <= m_snapshot->version)
         return;
     const base::StallTimer timer(m_stalls, base::StallCause::Apply);
@@ -97,25 +98,25 @@
     m_ingress.apply(m_snapshot);
     base::logEvent(Event::VersionApplied, std::to_string(m_snapshot->version.value));
     m_toControl(inner::VersionInForce { m_snapshot->version });
-    openForCallers();
+    openIngressIfReady();
 }
 
-void Node::openForCallers()
+void Node::openIngressIfReady()
 {
-    if (m_snapshot && m_endpointsTold)
+    if (m_snapshot && m_endpointsReceived)
         m_ingress.open();
 }
 
 void Node::onMessage(const inner::EndpointsChanged& message)
 {
-    m_endpointsTold = true;
+    m_endpointsReceived = true;
     std::vector<config::Endpoint> others;
     for (const config::Endpoint& it : message.endpoints) {
         if (it.host != m_settings.membership.host)
-            others.push_back(it); // about its own upstream the node knows better
+            others.push_back(it); // for its own upstream, the node's local state is newer
     }
     m_ingress.setEndpoints(others);
-    openForCallers();
+    openIngressIfReady();
 }
 
 void Node::onMessage(const inner::ControlReachable& message)
@@ -150,7 +151,7 @@
 void Node::onTick()
 {
     const base::Time now = base::steadyNow();
-    base::addStall(m_stalls, base::StallCause::LateTimer, std::max<int64_t>((now - m_tickedAt - tickEvery).ms, 0) * 1000);
+    base::addStall(m_stalls, base::StallCause::LateTimer, std::max<int64_t>((now - m_tickedAt - tickInterval).ms, 0) * 1000);
     m_tickedAt = now;
     const Duration every = m_snapshot ? m_snapshot->pace.report : Duration { 200 };
     if (now - m_reportedAt >= every) {
@@ -162,28 +163,28 @@
     if (!m_stopped)
         return;
     const Duration stopping = now - m_stopAt;
-    drainOwnerInTime(stopping);
+    drainOwnerWhenDue(stopping);
     if (stopping >= m_settings.drainTime && !m_acceptingStopped) {
         m_acceptingStopped = true;
         m_ingress.stop();
     }
-    if (!m_lastAnswersGiven && stopping >= m_settings.gracefulShutdownTimeout - std::min(lastAnswersBefore, m_settings.gracefulShutdownTimeout / 4)) {
-        m_lastAnswersGiven = true;
-        m_ingress.answerAll();
+    if (!m_finalAnswersSent && stopping >= m_settings.gracefulShutdownTimeout - std::min(finalAnswersLead, m_settings.gracefulShutdownTimeout / 4)) {
+        m_finalAnswersSent = true;
+        m_ingress.answerPendingRequests();
     }
     const bool done = m_acceptingStopped && m_ingress.idle() && m_owner.idle() && m_claims.idle();
     if (!done && stopping < m_settings.gracefulShutdownTimeout)
         return;
     if (!done)
-        base::logEvent(Event::StopBoundReached, "requests still ran after " + std::to_string(m_settings.gracefulShutdownTimeout.ms) + " ms");
+        base::logEvent(Event::StopBoundReached, "requests were still active after " + std::to_string(m_settings.gracefulShutdownTimeout.ms) + " ms");
     const auto stopped = std::move(m_stopped);
     m_stopped = nullptr;
     stopped();
 }
 
-void Node::drainOwnerInTime(Duration stopping)
+void Node::drainOwnerWhenDue(Duration stopping)
 {
-    if (m_ownerDraining || stopping < m_settings.drainTime - ownerDrainsBefore)
+    if (m_ownerDraining || stopping < m_settings.drainTime - ownerDrainLead)
         return;
     m_ownerDraining = true;
     m_owner.drain();
@@ -191,14 +192,14 @@
 
 void Node::stop(std::function<void()> stopped)
 {
-    base::logEvent(Event::Stopping, "drains for " + std::to_string(m_settings.drainTime.ms) + " ms, ends within " + std::to_string(m_settings.gracefulShutdownTimeout.ms) + " ms");
+    base::logEvent(Event::Stopping, "draining for " + std::to_string(m_settings.drainTime.ms) + " ms, exiting within " + std::to_string(m_settings.gracefulShutdownTimeout.ms) + " ms");
     m_stopped = std::move(stopped);
     m_stopAt = base::steadyNow();
     m_ingress.drain();
-    drainOwnerInTime({});
+    drainOwnerWhenDue({});
 }
 
-bool Node::ready() const { return m_snapshot && m_endpointsTold && !m_stopped; }
+bool Node::ready() const { return m_snapshot && m_endpointsReceived && !m_stopped; }
 
 std::string Node::metrics() const
 {
--- a/src/appletally/node/node.h
+++ b/src/appletally/node/node.h
@@ -1,4 +1,4 @@
-// The node's task: one libevent loop that owns the call path, beside the control link's own thread.
+// Connects the parts of a node. The call path runs on one libevent loop; the control link has a thread of its own.
 #pragma once
 
 #include "appletally/base/loop_stalls.h"
@@ -14,7 +14,7 @@
 
 namespace appletally::node {
 
-// Where the node listens; ports that the settings left to the system are filled in.
+// Addresses the node listens on; port 0 in the settings is replaced by the port that the system assigned.
 struct NodeAddresses {
     base::Address callers;
     base::Address inner;
@@ -31,19 +31,19 @@
     Node(const Node&) = delete;
     Node& operator=(const Node&) = delete;
 
-    base::Result<NodeAddresses> listen(); // AddressInUse names the address
+    base::Result<NodeAddresses> listen(); // AddressInUse, with the address in the message
 
-    // Graceful: serves what still arrives for drainTime while callers move on, and lets other nodes use its upstream for
-    // most of it; then announces draining, closes the listener and waits for what runs, at most until stopBound.
-    // `stopped` is called from the loop.
+    // Graceful shutdown: serves new requests for drainTime while callers move to other nodes, and keeps its upstream
+    // available to other nodes for most of it. Then announces draining, closes the listener and waits for active requests,
+    // at most until gracefulShutdownTimeout. `stopped` is called from the loop.
     void stop(std::function<void()> stopped);
 
-    // --- For a port on which the upstream speaks another protocol ---
+    // --- For an ExtraPort on which the upstream uses another protocol ---
 
     void announce(const Announcement& it) { m_owner.announce(it); }
-    void upstreamLeft() { m_owner.upstreamLeft(); }
-    std::string metrics() const; // in Prometheus' text format
-    bool ready() const; // has a proven configuration and knows who serves it, and does not stop
+    void onUpstreamLeft() { m_owner.onUpstreamLeft(); }
+    std::string metrics() const; // Prometheus text format
+    bool ready() const; // has a proven configuration and the endpoints, and is not stopping
 
 private:
     void onControl();
@@ -52,9 +52,9 @@
     void onMessage(const inner::ControlReachable&);
     void onMessage(const inner::DumpAsked&);
     void announceEndpoint();
-    void openForCallers();
+    void openIngressIfReady();
     void onTick();
-    void drainOwnerInTime(base::Duration stopping);
+    void drainOwnerWhenDue(base::Duration stopping);
     nlohmann::json toJson() const;
 
     event_base* m_loop;
@@ -77,16 +77,16 @@
     base::Time m_tickedAt = base::steadyNow();
     base::LoopStalls m_stalls;
     bool m_controlReachable = false;
-    bool m_endpointsTold = false; // control has said which upstreams there are
+    bool m_endpointsReceived = false; // control has sent the list of endpoints
     bool m_endpointKnown = false; // something was announced, so that its end has to be too
     std::function<void()> m_stopped; // set: stopping
     base::Time m_stopAt;
     bool m_acceptingStopped = false;
-    bool m_lastAnswersGiven = false;
+    bool m_finalAnswersSent = false;
     bool m_ownerDraining = false;
 };
 
-// A port beside the node's own, on which the upstream or the platform speak another protocol.
+// An additional port on which the upstream or the platform uses another protocol.
 class ExtraPort {
 public:
     virtual ~ExtraPort() = default;
--- a/src/appletally/node/owner.cpp
+++ b/src/appletally/node/owner.cpp
@@ -1,5 +1,5 @@
-// What the owner knows of its upstream: announcements, verdicts, evidence. Calls run in owner_run.cpp.
-#include "appletally/node/owner_running.h"
+// The owner's view of its upstream: announcements, local version decisions, evidence. Calls are run in owner_run.cpp.
+#include "appletally/node/owner_call.h"
 
 #include "appletally/base/log.h"
 #include "appletally/base/loop_time.h"
@@ -15,12 +15,12 @@
 using config::EndpointState;
 using policy::RunEnd;
 
-// An upstream that leaves serves on for about two seconds. What still waits for a slot after one goes elsewhere, or it
-// would reach an upstream that is gone.
-constexpr Duration waitAtDraining { 1000 };
+// A draining upstream keeps serving for about two seconds. Calls that still wait for a slot after one second are refused, so
+// that they go elsewhere instead of reaching a stopped upstream.
+constexpr Duration maxQueueTimeWhileDraining { 1000 };
 
-constexpr Duration busyTick { 5 }; // a refusal that has become certain is at most this late
-constexpr Duration idleTick { 250 }; // only announcements run out then; a node that nobody calls should cost nothing
+constexpr Duration busyTickInterval { 5 }; // upper bound on the delay of a refusal that has become certain
+constexpr Duration idleTickInterval { 250 }; // only announcements expire then; an idle node should use next to no CPU
 
 Owner::Owner(event_base* loop, OwnerSettings settings, Claims& claims, Events events)
     : m_loop(loop)
@@ -39,13 +39,13 @@
     if (m_tickBusy == busy)
         return;
     m_tickBusy = busy;
-    const timeval every = base::toTimeval(busy ? busyTick : idleTick);
+    const timeval every = base::toTimeval(busy ? busyTickInterval : idleTickInterval);
     event_add(m_tick, &every);
 }
 
 Owner::~Owner() { event_free(m_tick); }
 
-Owner::Running* Owner::find(OwnerCallId id)
+Owner::ActiveCall* Owner::find(OwnerCallId id)
 {
     auto it = m_calls.find(id);
     return it == m_calls.end() ? nullptr : it->second.get();
@@ -60,25 +60,25 @@
 
 policy::Load Owner::currentLoad() const { return policy::load(m_admission, base::steadyNow()); }
 
-// Why the call cannot even be offered; all of these are proven "not run".
-std::optional<base::Error> Owner::whyNot(const Call& call) const
+// Returns why the call cannot be offered to admission, if so; all of these errors are proven "not run".
+std::optional<base::Error> Owner::findRefusal(const Call& call) const
 {
     if (state() == EndpointState::Draining)
-        return base::fail(Code::Draining, "the upstream is leaving");
+        return base::fail(Code::Draining, "the upstream is draining");
     if (state() != EndpointState::Ready || m_upstream->service != call.service)
         return base::fail(Code::NoUpstream, "no ready upstream of " + call.service.text + " here");
-    if (const auto it = m_verdicts.find(m_upstream->version); it != m_verdicts.end() && !policy::mayRun(it->second))
+    if (const auto it = m_localDecisions.find(m_upstream->version); it != m_localDecisions.end() && !policy::mayRun(it->second))
         return base::fail(Code::VersionTakenBack, it->second.why);
     return {};
 }
 
-policy::LocalVerdict* Owner::verdict()
+policy::LocalVerdict* Owner::localDecision()
 {
     if (!m_upstream)
         return nullptr;
-    auto it = m_verdicts.find(m_upstream->version);
-    if (it == m_verdicts.end()) {
-        it = m_verdicts.emplace(m_upstream->version, policy::startLocalVerdict(m_settings.host, m_settings.incarnation, m_upstream->service, m_upstream->version, base::steadyNow())).first;
+    auto it = m_localDecisions.find(m_upstream->version);
+    if (it == m_localDecisions.end()) {
+        it = m_localDecisions.emplace(m_upstream->version, policy::startLocalVerdict(m_settings.host, m_settings.incarnation, m_upstream->service, m_upstream->version, base::steadyNow())).first;
         if (m_snapshot)
             policy::onSnapshot(it->second, *m_snapshot);
     }
@@ -88,32 +88,32 @@
 void Owner::onTick()
 {
     const Time now = base::steadyNow();
-    follow(policy::tick(m_admission, now));
+    applyFollowup(policy::tick(m_admission, now));
     if (m_upstream && now - m_announcedAt > m_settings.announcementTimeout)
-        loseUpstream("its announcement ran out");
-    if (m_drainingSince && now - *m_drainingSince > waitAtDraining)
-        refuseWaiting(base::fail(Code::Draining, "the upstream is leaving"));
+        removeUpstream("its announcement expired");
+    if (m_drainingSince && now - *m_drainingSince > maxQueueTimeWhileDraining)
+        refuseQueued(base::fail(Code::Draining, "the upstream is draining"));
     setTick(!m_calls.empty());
 }
 
-void Owner::upstreamLeft()
+void Owner::onUpstreamLeft()
 {
     if (m_upstream)
-        loseUpstream("it said so");
+        removeUpstream("it deregistered");
 }
 
-void Owner::loseUpstream(const std::string& why)
+void Owner::removeUpstream(const std::string& why)
 {
     base::logEvent(base::Event::UpstreamLeft, m_upstream->service.text + " " + m_upstream->version.text + ": " + why);
     m_upstream.reset();
     m_drainingSince.reset();
     policy::drain(m_admission, base::steadyNow());
-    refuseWaiting(base::fail(Code::NoUpstream, "the upstream is gone"));
+    refuseQueued(base::fail(Code::NoUpstream, "the upstream is gone"));
     m_events.load(currentLoad());
     m_events.changed();
 }
 
-void Owner::refuseWaiting(const base::Error& error)
+void Owner::refuseQueued(const base::Error& error)
 {
     std::vector<OwnerCallId> waiting;
     for (const auto& [id, it] : m_calls) {
@@ -121,8 +121,8 @@
             waiting.push_back(id);
     }
     for (const OwnerCallId id : waiting) {
-        if (Running* it = find(id))
-            leaveSlot(*it, error);
+        if (ActiveCall* it = find(id))
+            releaseAndRefuse(*it, error);
     }
 }
 
@@ -134,29 +134,29 @@
     const bool changed = another || m_upstream->state != announcement.state || m_upstream->slots != announcement.slots || m_upstream->service != announcement.service;
     m_announcedAt = base::steadyNow();
     if (another) {
-        // Another upstream process stands there now; what ran on the one before will not be answered.
+        // Another upstream process has taken over; calls that ran on the previous one will not be answered.
         std::vector<OwnerCallId> left;
         for (const auto& [id, it] : m_calls)
             left.push_back(id);
         for (const OwnerCallId id : left) {
-            if (Running* it = find(id))
-                giveUp(*it, base::fail(Code::OutcomeUnknown, "the upstream was replaced"));
+            if (ActiveCall* it = find(id))
+                failRun(*it, base::fail(Code::OutcomeUnknown, "the upstream was replaced"));
         }
         m_client = std::make_unique<http::UpstreamClient>(m_loop, announcement.address);
         policy::upstreamStarted(m_admission, m_announcedAt + std::min(announcement.slowStartRemaining, policy::slowStart) - policy::slowStart);
     }
     m_upstream = announcement;
     if (becameReady)
-        policy::onUpstreamReady(*verdict(), m_announcedAt);
+        policy::onUpstreamReady(*localDecision(), m_announcedAt);
     if (!changed)
         return;
     if (announcement.state == EndpointState::Draining) {
         m_drainingSince = m_drainingSince.value_or(m_announcedAt);
-        follow(policy::drain(m_admission, m_announcedAt));
+        applyFollowup(policy::drain(m_admission, m_announcedAt));
     } else if (!m_draining) {
         m_drainingSince.reset();
         m_admission.draining = false;
-        follow(policy::setSlots(m_admission, announcement.slots, m_announcedAt));
+        applyFollowup(policy::setSlots(m_admission, announcement.slots, m_announcedAt));
     }
     base::logEvent(announcement.state == EndpointState::Draining ? base::Event::UpstreamLeft : base::Event::UpstreamAnnounced,
         announcement.service.text + " " + announcement.version.text + " at " + announcement.address.text());
@@ -169,7 +169,7 @@
     if (m_draining)
         return;
     m_draining = true;
-    follow(policy::drain(m_admission, base::steadyNow()));
+    applyFollowup(policy::drain(m_admission, base::steadyNow()));
     m_events.load(currentLoad());
     m_events.changed();
 }
@@ -177,19 +177,19 @@
 void Owner::apply(std::shared_ptr<const config::Snapshot> snapshot)
 {
     m_snapshot = std::move(snapshot);
-    for (auto& [version, it] : m_verdicts)
+    for (auto& [version, it] : m_localDecisions)
         policy::onSnapshot(it, *m_snapshot);
 }
 
-void Owner::record(const Running& it, RunEnd how)
+void Owner::record(const ActiveCall& it, RunEnd how)
 {
     if (how != RunEnd::Good && how != RunEnd::Failed)
         return;
-    auto found = m_verdicts.find(it.version);
-    if (found == m_verdicts.end())
+    auto found = m_localDecisions.find(it.version);
+    if (found == m_localDecisions.end())
         return;
     const bool before = found->second.stopped;
-    policy::onLocalAnswer(found->second, { it.call.route, how == RunEnd::Failed, Duration { it.ranMicros / 1000 }, it.busy, it.call.old }, base::steadyNow());
+    policy::onLocalAnswer(found->second, { it.call.route, how == RunEnd::Failed, Duration { it.ranMicros / 1000 }, it.upstreamBusy, it.call.baseline }, base::steadyNow());
     if (!before && found->second.stopped) {
         base::logEvent(base::Event::VersionStoppedHere, it.version.text + ": " + found->second.why);
         m_events.changed();
@@ -199,14 +199,14 @@
 std::vector<config::Evidence> Owner::takeEvidence()
 {
     std::vector<config::Evidence> out;
-    for (const auto& [version, verdict] : m_verdicts) {
-        // Told without end, counters that nobody decides by made up two thirds of all that control sends and receives. They
-        // are cumulative, so that a rollout's first report brings the history that the new version is compared with.
-        if (!m_snapshot || !config::rolloutRuns(*m_snapshot, verdict.service))
+    for (const auto& [version, decision] : m_localDecisions) {
+        // Reported only during a rollout: without this limit, counters that no decision uses made up two thirds of control's
+        // traffic. They are cumulative, so a rollout's first report includes the history that the new version is compared with.
+        if (!m_snapshot || !config::rolloutRuns(*m_snapshot, decision.service))
             continue;
-        for (const config::Evidence& it : policy::reportOf(verdict)) {
+        for (const config::Evidence& it : policy::reportOf(decision)) {
             const uint64_t seen = it.answers + it.coldAnswers + (it.stoppedHere ? 1 : 0);
-            uint64_t& reported = m_reported[{ it.route, version }];
+            uint64_t& reported = m_reportedAnswers[{ it.route, version }];
             if (reported == seen)
                 continue;
             reported = seen;
@@ -248,9 +248,9 @@
     out["load"] = { { "running", load.running }, { "waiting", load.waiting }, { "slots", load.slots }, { "draining", load.draining } };
     out["counts"] = { { "ran", m_counts.ran }, { "refused", m_counts.refused }, { "cancelled", m_counts.cancelled }, { "failed", m_counts.failed } };
     out["runMicros"] = m_runTime.toJson();
-    for (const auto& [version, verdict] : m_verdicts) {
-        out["versions"][version.text] = { { "judged", verdict.judged }, { "stopped", verdict.stopped }, { "why", verdict.why } };
-        for (const config::Evidence& it : policy::reportOf(verdict))
+    for (const auto& [version, decision] : m_localDecisions) {
+        out["versions"][version.text] = { { "judged", decision.judged }, { "stopped", decision.stopped }, { "why", decision.why } };
+        for (const config::Evidence& it : policy::reportOf(decision))
             out["evidence"].push_back({ { "route", it.route.text }, { "version", it.version.text }, { "answers", it.answers }, { "failures", it.failures } });
     }
     return out;
--- a/src/appletally/node/owner.h
+++ b/src/appletally/node/owner.h
@@ -1,8 +1,8 @@
-// The owner's side: the node beside an upstream is the only door to it.
+// Owner: the node beside an upstream, through which all calls to it pass.
 //
-// Because every call to the upstream passes here, slots, draining and "not run" are decided in one place with no
-// message on the way between the decision and its effect. It runs what admission lets run, gives up what is past its
-// deadline, and says "not run" only where the upstream never got a byte or itself refused before it started.
+// Since there is no other path to the upstream, slots, draining and "not run" are decided in one place, with no message
+// between a decision and its effect. The owner runs the calls that admission allows, ends those past their deadline, and
+// reports "not run" only if the upstream never received a byte or refused the request before it started.
 #pragma once
 
 #include "appletally/base/histogram.h"
@@ -25,18 +25,18 @@
 
 using OwnerCallId = uint64_t;
 
-// What the upstream beside this node says about itself.
+// State reported by the upstream beside this node.
 struct Announcement {
     base::ServiceName service;
     base::UpstreamVersion version;
     base::Address address;
     int slots = 1;
     config::EndpointState state = config::EndpointState::Starting;
-    std::string id; // its own name for this start; empty: none
-    base::Duration slowStartRemaining = policy::slowStart; // of a fresh start: how much longer it is slow
+    std::string id; // id of the upstream process; empty: none
+    base::Duration slowStartRemaining = policy::slowStart; // remaining slow start after a cold start
 };
 
-// What the settings say of the owner's side.
+// The owner's part of the node settings.
 struct OwnerSettings {
     base::HostId host;
     base::Incarnation incarnation;
@@ -55,8 +55,8 @@
 
 class Owner {
 public:
-    // Both are called from the loop. `changed`: the endpoint record must be announced anew. `load` tells callers' nodes
-    // at once what they must not learn late: that the upstream drains.
+    // Both are called from the loop. `changed`: the endpoint record must be announced again. `load` notifies the ingress
+    // nodes immediately, since they must not learn late that the upstream drains.
     struct Events {
         std::function<void()> changed;
         std::function<void(const policy::Load&)> load;
@@ -68,52 +68,52 @@
     Owner& operator=(const Owner&) = delete;
 
     OwnerCallId start(Call, CallHandler);
-    // The caller went away. A non-idempotent run goes on, since stopping it half-way helps nobody; its answer is dropped.
+    // The caller disconnected. A non-idempotent run continues, since stopping it part-way has no benefit; its answer is dropped.
     void cancel(OwnerCallId);
     void consumed(OwnerCallId, uint64_t bytes);
 
     void announce(const Announcement&);
-    void upstreamLeft(); // it said so: nothing more goes there, what runs there ends by itself
+    void onUpstreamLeft(); // the upstream deregistered: it gets no new calls; running ones continue
     void apply(std::shared_ptr<const config::Snapshot>);
-    void drain(); // of this node: as if the upstream left
+    void drain(); // this node stops: handled as if the upstream drained
     bool idle() const { return m_calls.empty(); }
 
     const std::optional<Announcement>& upstream() const { return m_upstream; }
     config::EndpointState state() const;
     policy::Load currentLoad() const;
-    std::vector<config::Evidence> takeEvidence(); // that has grown since the last time
+    std::vector<config::Evidence> takeEvidence(); // that has changed since the last call
     nlohmann::json toJson() const;
     void writeMetrics(base::MetricsText&) const;
 
 private:
-    struct Running;
-    void admit(Running&);
-    void run(Running&); // it has a slot
-    void claim(Running&); // before the upstream gets a byte of a keyed, non-idempotent request
+    struct ActiveCall;
+    void admit(ActiveCall&);
+    void run(ActiveCall&); // it holds a slot
+    void claim(ActiveCall&); // before any byte of a keyed, non-idempotent request is sent to the upstream
     void onClaimDecided(OwnerCallId, const policy::ClaimRound&);
-    void giveRecorded(Running&, const policy::ClaimOutcome&);
-    void leaveSlot(Running&, base::Error); // without having run
-    void send(Running&); // to the upstream
-    void endClaim(Running&, const std::optional<base::Error>&);
-    void follow(const policy::Followup&);
-    void onHead(Running&, const http::AnswerHead&);
-    void onBody(Running&, evbuffer*);
-    void onEnd(Running&, const http::AnswerEnd&);
-    void giveUp(Running&, base::Error); // a run whose answer nobody can wait for any longer
+    void replayRecorded(ActiveCall&, const policy::ClaimOutcome&);
+    void releaseAndRefuse(ActiveCall&, base::Error); // the call has not run
+    void send(ActiveCall&); // to the upstream
+    void endClaim(ActiveCall&, const std::optional<base::Error>&);
+    void applyFollowup(const policy::Followup&);
+    void onHead(ActiveCall&, const http::AnswerHead&);
+    void onBody(ActiveCall&, evbuffer*);
+    void onEnd(ActiveCall&, const http::AnswerEnd&);
+    void failRun(ActiveCall&, base::Error); // ends a run whose answer is broken or can no longer arrive in time
     void onTick();
-    void setTick(bool busy); // often while calls are here, seldom otherwise
-    void refuse(Running&, base::Error);
-    void finish(Running&, std::optional<base::Error>);
-    void logQueued(const Running&) const;
-    void logEnd(const Running&, const std::optional<base::Error>&) const;
-    void logCancelled(const Running&) const;
-    void record(const Running&, policy::RunEnd);
-    policy::LocalVerdict* verdict(); // on the upstream's version; none without an upstream
-    void loseUpstream(const std::string& why);
-    void refuseWaiting(const base::Error&); // whatever has not begun at the upstream
-    http::UpstreamRequest requestFor(Running&, base::Duration left) const;
-    Running* find(OwnerCallId);
-    std::optional<base::Error> whyNot(const Call&) const;
+    void setTick(bool busy); // short interval while there are calls, long otherwise
+    void refuse(ActiveCall&, base::Error);
+    void finish(ActiveCall&, std::optional<base::Error>);
+    void logQueued(const ActiveCall&) const;
+    void logEnd(const ActiveCall&, const std::optional<base::Error>&) const;
+    void logCancelled(const ActiveCall&) const;
+    void record(const ActiveCall&, policy::RunEnd);
+    policy::LocalVerdict* localDecision(); // on the upstream's version; null without an upstream
+    void removeUpstream(const std::string& why);
+    void refuseQueued(const base::Error&); // calls that wait for a slot
+    http::UpstreamRequest requestFor(ActiveCall&, base::Duration left) const;
+    ActiveCall* find(OwnerCallId);
+    std::optional<base::Error> findRefusal(const Call&) const;
 
     event_base* m_loop;
     OwnerSettings m_settings;
@@ -126,9 +126,9 @@
     std::optional<base::Time> m_drainingSince; // of the upstream
     std::unique_ptr<http::UpstreamClient> m_client;
     policy::Admission m_admission;
-    std::map<OwnerCallId, std::unique_ptr<Running>> m_calls;
-    std::map<base::UpstreamVersion, policy::LocalVerdict> m_verdicts; // of each version that stood here
-    std::map<std::pair<base::RouteName, base::UpstreamVersion>, uint64_t> m_reported; // answers at the last report
+    std::map<OwnerCallId, std::unique_ptr<ActiveCall>> m_calls;
+    std::map<base::UpstreamVersion, policy::LocalVerdict> m_localDecisions; // of each version that has run here
+    std::map<std::pair<base::RouteName, base::UpstreamVersion>, uint64_t> m_reportedAnswers; // number of answers at the last report
     base::LatencyHistogram m_runTime;
     OwnerCounts m_counts;
     OwnerCallId m_lastId = 0;
--- a/src/appletally/node/owner_links.cpp
+++ b/src/appletally/node/owner_links.cpp
@@ -1,4 +1,4 @@
-// Calls that come in over links; each answer goes back under the call's own id, so that crossed answers cannot be mixed up.
+// Calls received over links. Each answer carries the id of its call, so answers may be sent in any order.
 #include "appletally/node/owner_links.h"
 
 #include "appletally/base/log.h"
@@ -14,13 +14,13 @@
 using base::Code;
 using inner::wire::LinkMessage;
 
-// A node holds at most this many links: 2,500 nodes of which each needs a part; memory is about 12 KB a link.
-constexpr size_t mostLinks = 3000;
+// Sized for 2,500 nodes, of which each links to only some; a link takes about 12 KB of memory.
+constexpr size_t maxLinks = 3000;
 
-struct OwnerLinks::Accepted {
+struct OwnerLinks::InboundLink {
     std::unique_ptr<inner::NodeLink> link;
-    std::map<uint64_t, OwnerCallId> calls; // the peer's id to ours
-    std::map<uint64_t, uint64_t> sentBytes; // of body, by the peer's id
+    std::map<uint64_t, OwnerCallId> calls; // peer's call id to local call id
+    std::map<uint64_t, uint64_t> sentBytes; // body bytes by the peer's call id
 };
 
 OwnerLinks::OwnerLinks(event_base* loop, const inner::Membership& membership, Owner& owner, OnClaim onClaim)
@@ -55,15 +55,15 @@
 
 void OwnerLinks::accept(evutil_socket_t fd)
 {
-    if (m_links.size() >= mostLinks) {
+    if (m_links.size() >= maxLinks) {
         evutil_closesocket(fd);
         ++m_counts.refused;
         return;
     }
-    auto accepted = std::make_shared<Accepted>();
+    auto accepted = std::make_shared<InboundLink>();
     m_links.push_back(accepted);
     ++m_counts.accepted;
-    Accepted* it = accepted.get();
+    InboundLink* it = accepted.get();
     inner::LinkHandler handler;
     handler.up = [](inner::NodeLink&) {};
     handler.message = [this, it](inner::NodeLink&, LinkMessage::Reader message) { onMessage(*it, message); };
@@ -71,7 +71,7 @@
     it->link = inner::NodeLink::accept(m_loop, fd, *m_membership, std::move(handler));
 }
 
-void OwnerLinks::onDown(Accepted& it, const base::Error& error)
+void OwnerLinks::onDown(InboundLink& it, const base::Error& error)
 {
     const bool ordinary = error.code == Code::PeerGone || error.code == Code::PeerSilent;
     ++(ordinary ? m_counts.lost : m_counts.refused);
@@ -82,7 +82,7 @@
     m_links.remove_if([&](const auto& link) { return link.get() == &it; });
 }
 
-void OwnerLinks::onMessage(Accepted& it, LinkMessage::Reader message)
+void OwnerLinks::onMessage(InboundLink& it, LinkMessage::Reader message)
 {
     switch (message.which()) {
     case LinkMessage::CALL:
@@ -105,17 +105,17 @@
     case LinkMessage::CLAIM:
         return onClaim(it, message.getClaim());
     default:
-        it.link->fail(base::fail(Code::MessageMalformed, "a message that no dialing node sends"));
+        it.link->fail(base::fail(Code::MessageMalformed, "unexpected message type from a dialing node"));
     }
 }
 
-void OwnerLinks::onCall(Accepted& it, inner::wire::Call::Reader message)
+void OwnerLinks::onCall(InboundLink& it, inner::wire::Call::Reader message)
 {
     const uint64_t id = message.getId();
     if (it.calls.contains(id))
-        return it.link->fail(base::fail(Code::MessageMalformed, "a call id used twice"));
-    // The link may go down while the call runs; the handlers then find it expired and do nothing.
-    std::weak_ptr<Accepted> weak;
+        return it.link->fail(base::fail(Code::MessageMalformed, "duplicate call id"));
+    // The link may go down while the call runs; the handlers then do nothing.
+    std::weak_ptr<InboundLink> weak;
     for (const auto& link : m_links) {
         if (link.get() == &it)
             weak = link;
@@ -149,7 +149,7 @@
     it.calls[id] = m_owner->start(readCall(message, base::steadyNow()), std::move(handler));
 }
 
-void OwnerLinks::sendEnd(Accepted& it, uint64_t id, const CallEnd& end)
+void OwnerLinks::sendEnd(InboundLink& it, uint64_t id, const CallEnd& end)
 {
     capnp::MallocMessageBuilder out;
     if (end.error) {
@@ -168,10 +168,10 @@
     it.sentBytes.erase(id);
 }
 
-void OwnerLinks::onClaim(Accepted& it, inner::wire::Claim::Reader message)
+void OwnerLinks::onClaim(InboundLink& it, inner::wire::Claim::Reader message)
 {
     const uint64_t id = message.getId();
-    std::weak_ptr<Accepted> weak;
+    std::weak_ptr<InboundLink> weak;
     for (const auto& link : m_links) {
         if (link.get() == &it)
             weak = link;
@@ -189,7 +189,7 @@
     });
 }
 
-void OwnerLinks::tell(const policy::Load& load)
+void OwnerLinks::broadcastLoad(const policy::Load& load)
 {
     capnp::MallocMessageBuilder out;
     writeLoad(out.initRoot<LinkMessage>().initLoad(), load);
--- a/src/appletally/node/owner_links.h
+++ b/src/appletally/node/owner_links.h
@@ -1,4 +1,4 @@
-// The inner port of a node: takes links from other nodes and hands their calls to the owner.
+// The inner port of a node: accepts links from other nodes and forwards their calls to the owner.
 #pragma once
 
 #include "appletally/inner/node_link.h"
@@ -14,13 +14,13 @@
 
 struct InnerCounts {
     uint64_t accepted = 0;
-    uint64_t refused = 0; // garbage, wrong cluster, wrong key, a message over the limit
+    uint64_t refused = 0; // malformed data, wrong cluster, wrong key, or a message over the size limit
     uint64_t lost = 0;
 };
 
 class OwnerLinks {
 public:
-    // A claim message from another node: answer through the function, once, now or later.
+    // Handles a claim message from another node; `Answer` must be called once, immediately or later.
     using Answer = std::function<void(const std::string& body)>;
     using OnClaim = std::function<void(const base::HostId& peer, const std::string& body, Answer)>;
 
@@ -30,25 +30,25 @@
     OwnerLinks& operator=(const OwnerLinks&) = delete;
 
     base::Result<base::Address> listen(const base::Address&);
-    void tell(const policy::Load&); // to every linked node, unasked
+    void broadcastLoad(const policy::Load&); // sends an unsolicited load report to every linked node
     const InnerCounts& counts() const { return m_counts; }
     size_t links() const { return m_links.size(); }
 
 private:
-    struct Accepted;
+    struct InboundLink;
     void accept(evutil_socket_t);
-    void onMessage(Accepted&, inner::wire::LinkMessage::Reader);
-    void onCall(Accepted&, inner::wire::Call::Reader);
-    void onClaim(Accepted&, inner::wire::Claim::Reader);
-    void onDown(Accepted&, const base::Error&);
-    void sendEnd(Accepted&, uint64_t id, const CallEnd&);
+    void onMessage(InboundLink&, inner::wire::LinkMessage::Reader);
+    void onCall(InboundLink&, inner::wire::Call::Reader);
+    void onClaim(InboundLink&, inner::wire::Claim::Reader);
+    void onDown(InboundLink&, const base::Error&);
+    void sendEnd(InboundLink&, uint64_t id, const CallEnd&);
 
     event_base* m_loop;
     const inner::Membership* m_membership;
     Owner* m_owner;
     OnClaim m_onClaim;
     evconnlistener* m_listener = nullptr;
-    std::list<std::shared_ptr<Accepted>> m_links;
+    std::list<std::shared_ptr<InboundLink>> m_links;
     InnerCounts m_counts;
 };
 
--- a/src/appletally/node/owner_run.cpp
+++ b/src/appletally/node/owner_run.cpp
@@ -1,5 +1,5 @@
-// Runs calls on the upstream beside this node: admission, claim, run, answer. What is not proven is never "not run".
-#include "appletally/node/owner_running.h"
+// Runs calls on the upstream beside this node: admission, claim, run, answer. "Not run" is reported only when proven.
+#include "appletally/node/owner_call.h"
 
 #include "appletally/base/log.h"
 #include "appletally/base/loop_time.h"
@@ -17,42 +17,42 @@
 
 OwnerCallId Owner::start(Call call, CallHandler handler)
 {
-    auto running = std::make_unique<Running>();
-    Running& it = *running;
+    auto running = std::make_unique<ActiveCall>();
+    ActiveCall& it = *running;
     it.id = ++m_lastId;
-    it.name = nameOf(call.headers, m_settings.dialect.requestId, it.id);
+    it.name = requestLogName(call.headers, m_settings.dialect.requestId, it.id);
     it.call = std::move(call);
     it.handler = std::move(handler);
     it.owner = this;
     it.timer = event_new(
         m_loop, -1, 0, [](evutil_socket_t, short, void* arg) {
-            auto* self = static_cast<Running*>(arg);
+            auto* self = static_cast<ActiveCall*>(arg);
             if (self->stage == Stage::Offered)
                 self->owner->admit(*self);
             else
-                self->owner->giveUp(*self, base::fail(Code::DeadlinePassed, "the upstream did not answer in time"));
+                self->owner->failRun(*self, base::fail(Code::DeadlinePassed, "the upstream did not answer before the deadline"));
         },
         &it);
-    event_active(it.timer, 0, 0); // callers of start() get no callback from within it
+    event_active(it.timer, 0, 0); // start() must not call the handler before it returns
     m_calls[it.id] = std::move(running);
     setTick(true);
     return it.id;
 }
 
-// Overloaded is what an upstream says of itself: asking another one then adds load. What admission refuses has cost nobody
-// anything but the way here.
+// Overloaded is reserved for upstreams that report overload: a retry elsewhere then adds load. A refusal by admission has
+// cost nothing but the transport, so it is reported as NoRoom.
 static base::Error toError(const policy::Refusal& it)
 {
     return base::fail(it.code == Code::Overloaded ? Code::NoRoom : it.code, "no room in time", it.retryAfter);
 }
 
-void Owner::admit(Running& it)
+void Owner::admit(ActiveCall& it)
 {
-    if (auto error = whyNot(it.call))
+    if (auto error = findRefusal(it.call))
         return refuse(it, *error);
     it.offered = true;
     const Time now = base::steadyNow();
-    const policy::Arrival arrival { { it.id }, it.call.caller, it.call.route, it.call.priority, it.call.expected, it.call.deadline, it.call.internal, it.call.fullWorthBy };
+    const policy::Arrival arrival { { it.id }, it.call.caller, it.call.route, it.call.priority, it.call.expected, it.call.deadline, it.call.internal, it.call.targetDeadline };
     const policy::Decision decision = policy::offer(m_admission, arrival, now);
     if (decision.verdict == policy::Verdict::Run)
         run(it);
@@ -60,37 +60,37 @@
         logQueued(it);
     else
         refuse(it, toError(decision.refusal));
-    follow({ {}, decision.displaced });
+    applyFollowup({ {}, decision.displaced });
 }
 
-void Owner::follow(const policy::Followup& followup)
+void Owner::applyFollowup(const policy::Followup& followup)
 {
     for (const policy::Refusal& refusal : followup.refused) {
-        if (Running* it = find(refusal.id.value))
+        if (ActiveCall* it = find(refusal.id.value))
             refuse(*it, toError(refusal));
     }
     for (const policy::RequestId& id : followup.start) {
-        if (Running* it = find(id.value))
+        if (ActiveCall* it = find(id.value))
             run(*it);
     }
 }
 
-void Owner::run(Running& it)
+void Owner::run(ActiveCall& it)
 {
     if (!m_upstream)
-        return leaveSlot(it, base::fail(Code::NoUpstream, "the upstream is gone"));
-    // Between the queue and the slot the version may have been stopped; what has not begun is still truly "not run".
-    if (auto error = whyNot(it.call); error && error->code == Code::VersionTakenBack)
-        return leaveSlot(it, *error);
+        return releaseAndRefuse(it, base::fail(Code::NoUpstream, "the upstream is gone"));
+    // The version may have been stopped while the call was queued; it has not started, so "not run" is still proven.
+    if (auto error = findRefusal(it.call); error && error->code == Code::VersionTakenBack)
+        return releaseAndRefuse(it, *error);
     if (m_settings.features.claims && !it.call.idempotent && !it.call.key.empty())
         return claim(it);
     send(it);
 }
 
-constexpr Duration handOverLimit { 2000 }; // four times a round's own limit, far below the time that keepers remember
-constexpr Duration claimMargin { 1000 }; // from the deadline to the latest end of a run that is being stopped
+constexpr Duration maxClaimHandoverTime { 2000 }; // four times the limit of a claim round, far below the time for which keepers remember claims
+constexpr Duration claimMargin { 1000 }; // from the deadline to the latest possible end of a run that is being stopped
 
-void Owner::claim(Running& it)
+void Owner::claim(ActiveCall& it)
 {
     it.stage = Stage::Claiming;
     const Duration within = it.call.deadline - base::steadyNow() + claimMargin;
@@ -101,34 +101,34 @@
 
 void Owner::onClaimDecided(OwnerCallId id, const policy::ClaimRound& round)
 {
-    Running* it = find(id);
+    ActiveCall* it = find(id);
     if (!it)
-        return; // cancelled meanwhile; cancel() leaves an ended claim behind
+        return; // cancelled in the meantime; cancel() keeps calls whose claim must still be ended
     const auto granted = it->claim;
     if (round.decision != policy::ClaimDecision::Run)
         it->claim.reset();
     switch (round.decision) {
     case policy::ClaimDecision::Run:
-        // A process that stood still since the keepers granted must not run what they may have forgotten meanwhile.
-        if (it->detached || base::steadyNow() - round.startedAt > handOverLimit || base::steadyNow() >= it->call.deadline || !m_upstream || state() == EndpointState::Gone) {
+        // A process that was suspended after the grant must not run a call whose claim the keepers may have forgotten.
+        if (it->detached || base::steadyNow() - round.startedAt > maxClaimHandoverTime || base::steadyNow() >= it->call.deadline || !m_upstream || state() == EndpointState::Gone) {
             m_claims->end(*granted, policy::ClaimEnd::NotStarted, {});
             it->claim.reset();
-            return leaveSlot(*it, base::fail(Code::DeadlineTooNear, "no time left after its claim"));
+            return releaseAndRefuse(*it, base::fail(Code::DeadlineTooNear, "no time left after the claim was granted"));
         }
         return send(*it);
     case policy::ClaimDecision::AnswerRecorded:
-        return giveRecorded(*it, *round.outcome);
+        return replayRecorded(*it, *round.outcome);
     default:
-        return leaveSlot(*it, base::fail(round.code, round.why, Duration { 1000 }));
+        return releaseAndRefuse(*it, base::fail(round.code, round.why, Duration { 1000 }));
     }
 }
 
-// A resend of a request that has run: it gets the first outcome, and the upstream hears nothing of it.
-void Owner::giveRecorded(Running& it, const policy::ClaimOutcome& outcome)
+// Answers a resend of a request that has already run with the recorded outcome, without involving the upstream.
+void Owner::replayRecorded(ActiveCall& it, const policy::ClaimOutcome& outcome)
 {
     const OwnerCallId id = it.id;
     if (!outcome.bodyKept)
-        return leaveSlot(it, base::fail(Code::OutcomeUnknown, "it ran and was answered with status " + std::to_string(outcome.status) + "; the answer is too long to be kept"));
+        return releaseAndRefuse(it, base::fail(Code::OutcomeUnknown, "it ran and was answered with status " + std::to_string(outcome.status) + "; the answer was too large to be recorded"));
     http::AnswerHead head;
     head.status = outcome.status;
     for (const auto& [name, value] : outcome.headers)
@@ -145,17 +145,17 @@
     }
     const auto followup = policy::cancel(m_admission, { id }, base::steadyNow());
     finish(it, {});
-    follow(followup);
+    applyFollowup(followup);
 }
 
-void Owner::leaveSlot(Running& it, base::Error error)
+void Owner::releaseAndRefuse(ActiveCall& it, base::Error error)
 {
     const auto followup = policy::cancel(m_admission, { it.id }, base::steadyNow());
     refuse(it, std::move(error));
-    follow(followup);
+    applyFollowup(followup);
 }
 
-http::UpstreamRequest Owner::requestFor(Running& it, Duration left) const
+http::UpstreamRequest Owner::requestFor(ActiveCall& it, Duration left) const
 {
     const Dialect& names = m_settings.dialect;
     http::UpstreamRequest out;
@@ -163,7 +163,7 @@
     out.target = it.call.target;
     out.body = std::move(it.call.body);
     out.idempotent = it.call.idempotent;
-    const std::string* named = http::findHeader(it.call.headers, "Connection"); // fields that concern the caller's connection only
+    const std::string* named = http::findHeader(it.call.headers, "Connection"); // lists fields that apply to the caller's connection only
     for (const http::HeaderField& field : it.call.headers) {
         const bool ours = http::sameName(field.name, names.timeLeft) || http::sameName(field.name, names.depth) || http::sameName(field.name, names.caller)
             || http::sameName(field.name, names.upstreamId);
@@ -187,13 +187,13 @@
     return out;
 }
 
-void Owner::send(Running& it)
+void Owner::send(ActiveCall& it)
 {
     const Time now = base::steadyNow();
     const Duration left = it.call.deadline - now;
     it.stage = Stage::Running;
     it.version = m_upstream->version;
-    it.busy = static_cast<int>(m_admission.running.size()) * 4 >= m_admission.slots.announced * 3;
+    it.upstreamBusy = static_cast<int>(m_admission.running.size()) * 4 >= m_admission.slots.announced * 3;
     it.startedMicros = base::steadyMicros();
     const Duration wait = std::max(left, Duration { 1 });
     const timeval deadline = base::toTimeval(wait);
@@ -203,36 +203,36 @@
     const OwnerCallId id = it.id;
     http::UpstreamHandler handler;
     handler.head = [this, id](const http::AnswerHead& head) {
-        if (Running* found = find(id))
+        if (ActiveCall* found = find(id))
             onHead(*found, head);
     };
     handler.body = [this, id](evbuffer* buf) {
-        if (Running* found = find(id))
+        if (ActiveCall* found = find(id))
             onBody(*found, buf);
     };
     handler.end = [this, id](const http::AnswerEnd& end) {
-        if (Running* found = find(id))
+        if (ActiveCall* found = find(id))
             onEnd(*found, end);
     };
     it.upstream = m_client->start(requestFor(it, wait), std::move(handler));
 }
 
-// What an upstream in good order never sends.
-static std::optional<base::Error> whyBroken(const http::AnswerHead& head, const Dialect& names)
+// Checks for answers that a healthy upstream never sends.
+static std::optional<base::Error> findProtocolViolation(const http::AnswerHead& head, const Dialect& names)
 {
     const bool success = head.status >= 200 && head.status < 300;
     if (success && !names.completeAnswerHeader.empty() && !http::findHeader(head.headers, names.completeAnswerHeader))
-        return base::fail(Code::UpstreamBroke, "a success without the upstream's mark");
+        return base::fail(Code::UpstreamBroke, "a success without the header that marks a complete answer");
     if (!names.allowContentCoding && http::findHeader(head.headers, "Content-Encoding"))
-        return base::fail(Code::UpstreamBroke, "a body in a content coding that nobody asked for");
+        return base::fail(Code::UpstreamBroke, "a body in a content coding that was not requested");
     return {};
 }
 
-void Owner::onHead(Running& it, const http::AnswerHead& head)
+void Owner::onHead(ActiveCall& it, const http::AnswerHead& head)
 {
     it.status = head.status;
-    if (const auto broken = whyBroken(head, m_settings.dialect))
-        return giveUp(it, *broken);
+    if (const auto broken = findProtocolViolation(head, m_settings.dialect))
+        return failRun(it, *broken);
     if (it.claim) {
         it.outcome.status = head.status;
         for (const http::HeaderField& field : head.headers) {
@@ -240,9 +240,9 @@
                 it.outcome.headers.push_back({ field.name, field.value });
         }
     }
-    // An upstream that sheds load says so before it starts; only this header proves it, a bare 503 may come from half-way.
-    // What it finds wrong with the request itself is the caller's to hear.
-    constexpr int misdirected = 421; // meant for another process than the one that stands there
+    // An upstream that sheds load refuses before it starts. Only this header proves it, since a plain 503 may come from a
+    // partial run. Errors in the request itself are passed on to the caller.
+    constexpr int misdirected = 421; // Misdirected Request: meant for another upstream process than the one at this address
     const bool refused = head.status == 503 || head.status == 429 || head.status == misdirected;
     it.notRunByUpstream = refused && (head.status == misdirected || http::findHeader(head.headers, m_settings.dialect.notRun));
     it.misdirected = head.status == misdirected;
@@ -250,7 +250,7 @@
         it.handler.head(head);
 }
 
-void Owner::onBody(Running& it, evbuffer* buf)
+void Owner::onBody(ActiveCall& it, evbuffer* buf)
 {
     const uint64_t n = evbuffer_get_length(buf);
     if (it.claim && it.outcome.bodyKept) {
@@ -264,23 +264,23 @@
         evbuffer_drain(buf, n);
         return;
     }
-    it.unconsumed += n;
-    if (it.unconsumed > bodyWindow)
+    it.unconsumedBytes += n;
+    if (it.unconsumedBytes > bodyWindowBytes)
         it.upstream->pause();
     it.handler.body(buf);
 }
 
 void Owner::consumed(OwnerCallId id, uint64_t bytes)
 {
-    Running* it = find(id);
+    ActiveCall* it = find(id);
     if (!it)
         return;
-    it->unconsumed -= std::min(bytes, it->unconsumed);
-    if (it->unconsumed <= bodyWindow / 2 && it->upstream)
+    it->unconsumedBytes -= std::min(bytes, it->unconsumedBytes);
+    if (it->unconsumedBytes <= bodyWindowBytes / 2 && it->upstream)
         it->upstream->resume();
 }
 
-void Owner::onEnd(Running& it, const http::AnswerEnd& end)
+void Owner::onEnd(ActiveCall& it, const http::AnswerEnd& end)
 {
     it.upstream = nullptr;
     it.ranMicros = base::steadyMicros() - it.startedMicros;
@@ -289,18 +289,18 @@
     std::optional<base::Error> error = end.error;
     if (it.notRunByUpstream) {
         how = it.misdirected ? RunEnd::Cancelled : RunEnd::Shed;
-        error = it.misdirected ? base::fail(Code::NotReady, "another upstream process stands there now") : base::fail(Code::Overloaded, "the upstream sheds load", Duration { 1000 });
+        error = it.misdirected ? base::fail(Code::NotReady, "the upstream process has been replaced by another") : base::fail(Code::Overloaded, "the upstream sheds load", Duration { 1000 });
     } else if (error || it.status >= 500)
         how = RunEnd::Failed;
     record(it, how);
     endClaim(it, error);
     const auto followup = policy::finished(m_admission, { it.id }, how, Duration { it.ranMicros / 1000 }, base::steadyNow());
     finish(it, std::move(error));
-    follow(followup);
+    applyFollowup(followup);
 }
 
-// Only a run that is proven not to have begun gives its key free; after anything else a resend must not run again.
-void Owner::endClaim(Running& it, const std::optional<base::Error>& error)
+// Only a run that has provably not started releases its key; in any other case a resend must not run again.
+void Owner::endClaim(ActiveCall& it, const std::optional<base::Error>& error)
 {
     if (!it.claim)
         return;
@@ -312,7 +312,7 @@
         m_claims->end(claim, base::info(error->code).notRun ? policy::ClaimEnd::NotStarted : policy::ClaimEnd::Unknown, {});
 }
 
-void Owner::giveUp(Running& it, base::Error error)
+void Owner::failRun(ActiveCall& it, base::Error error)
 {
     if (it.stage != Stage::Running)
         return;
@@ -324,22 +324,22 @@
     endClaim(it, error);
     const auto followup = policy::finished(m_admission, { it.id }, RunEnd::Failed, Duration { it.ranMicros / 1000 }, base::steadyNow());
     finish(it, std::move(error));
-    follow(followup);
+    applyFollowup(followup);
 }
 
-void Owner::refuse(Running& it, base::Error error)
+void Owner::refuse(ActiveCall& it, base::Error error)
 {
     ++m_counts.refused;
     finish(it, std::move(error));
 }
 
-void Owner::logQueued(const Running& it) const
+void Owner::logQueued(const ActiveCall& it) const
 {
     const policy::Load load = currentLoad();
     base::logRequest(base::Event::CallQueued, it.name, { { "route", it.call.route.text }, { "left_ms", (it.call.deadline - base::steadyNow()).ms }, { "running", load.running }, { "waiting", load.waiting }, { "slots", load.slots } });
 }
 
-void Owner::logEnd(const Running& it, const std::optional<base::Error>& error) const
+void Owner::logEnd(const ActiveCall& it, const std::optional<base::Error>& error) const
 {
     const policy::Load load = currentLoad();
     if (!error) {
@@ -351,20 +351,20 @@
             { "waiting", load.waiting }, { "slots", load.slots }, { "ran_ms", it.ranMicros / 1000 }, { "retry_after_ms", error->retryAfter.ms } });
 }
 
-void Owner::logCancelled(const Running& it) const
+void Owner::logCancelled(const ActiveCall& it) const
 {
     const bool ran = it.stage == Stage::Running;
     base::logRequest(base::Event::CallCancelled, it.name,
         { { "route", it.call.route.text }, { "stage", ran ? "running" : "waiting" }, { "ran_ms", ran ? (base::steadyMicros() - it.startedMicros) / 1000 : 0 }, { "left_ms", (it.call.deadline - base::steadyNow()).ms } });
 }
 
-std::string nameOf(const std::vector<http::HeaderField>& headers, const std::string& idHeader, uint64_t own)
+std::string requestLogName(const std::vector<http::HeaderField>& headers, const std::string& idHeader, uint64_t own)
 {
     const std::string* id = idHeader.empty() ? nullptr : http::findHeader(headers, idHeader);
     return id ? *id : "#" + std::to_string(own);
 }
 
-void Owner::finish(Running& it, std::optional<base::Error> error)
+void Owner::finish(ActiveCall& it, std::optional<base::Error> error)
 {
     it.stage = Stage::Done;
     logEnd(it, error);
@@ -380,7 +380,7 @@
 
 void Owner::cancel(OwnerCallId id)
 {
-    Running* it = find(id);
+    ActiveCall* it = find(id);
     if (!it)
         return;
     ++m_counts.cancelled;
@@ -388,7 +388,7 @@
     const bool begun = it->stage == Stage::Running || it->stage == Stage::Claiming;
     if (begun && !it->call.idempotent) {
         it->detached = true;
-        it->unconsumed = 0;
+        it->unconsumedBytes = 0;
         if (it->upstream)
             it->upstream->resume();
         return;
@@ -398,7 +398,7 @@
     const bool offered = it->offered;
     m_calls.erase(id);
     if (offered)
-        follow(policy::cancel(m_admission, { id }, base::steadyNow()));
+        applyFollowup(policy::cancel(m_admission, { id }, base::steadyNow()));
 }
 
 } // namespace appletally::node
--- a/src/appletally/node/peers.cpp
+++ b/src/appletally/node/peers.cpp
@@ -1,5 +1,5 @@
-// Calls that go out over links. A call that was never written to a working link has not run; any other that loses its
-// link has an unknown outcome.
+// Outbound calls over links. If a link is lost, a call that was not yet written to it has not run; the outcome of any other
+// is unknown.
 #include "appletally/node/peers.h"
 
 #include "appletally/base/log.h"
@@ -15,26 +15,26 @@
 using base::Duration;
 using inner::wire::LinkMessage;
 
-constexpr Duration suspectEvery { 100 };
-constexpr Duration cleanEvery { 1000 };
-constexpr Duration idleLinkLife { 60000 }; // a link without calls for so long costs heartbeats and memory for nothing
-constexpr size_t mostClaimsPending = 10000; // per link; beyond it something is broken
+constexpr Duration suspicionCheckInterval { 100 };
+constexpr Duration idleLinkCheckInterval { 1000 };
+constexpr Duration idleLinkTimeout { 60000 }; // an unused link still costs heartbeats and memory
+constexpr size_t maxPendingClaims = 10000; // per link; only exceeded if the keeper does not answer
 
 struct Peers::Link {
     base::HostId host;
     base::Address address;
     std::unique_ptr<inner::NodeLink> link;
-    std::vector<std::function<void()>> waiting; // what to send once the link is up
+    std::vector<std::function<void()>> waiting; // sent once the link is up
     std::map<uint64_t, OnClaimAnswer> claims;
     size_t calls = 0;
     base::Time lastUsed;
     base::Time dialedAt;
 };
 
-struct Peers::Pending {
+struct Peers::PendingCall {
     std::shared_ptr<Link> link;
     CallHandler handler;
-    bool written = false; // from then on it may have run
+    bool written = false; // if set, the call may have run
     uint64_t received = 0; // body bytes
 };
 
@@ -45,7 +45,7 @@
 {
     m_tick = event_new(
         loop, -1, EV_PERSIST, [](evutil_socket_t, short, void* self) { static_cast<Peers*>(self)->onTick(); }, this);
-    const timeval every = base::toTimeval(suspectEvery);
+    const timeval every = base::toTimeval(suspicionCheckInterval);
     event_add(m_tick, &every);
 }
 
@@ -56,7 +56,7 @@
     auto found = m_current.find(host);
     if (found != m_current.end() && found->second->address == address) {
         const auto& it = found->second;
-        // One that is still being greeted is as fresh as can be.
+        // A link that is still in its handshake counts as fresh.
         if (!mustBeFresh || !it->link->isUp() || it->link->isFresh(base::steadyNow()))
             return it;
     }
@@ -82,7 +82,7 @@
 PeerCallId Peers::start(const base::HostId& host, const base::Address& address, const Call& call, bool mayRepeat, CallHandler handler)
 {
     const PeerCallId id = ++m_lastId;
-    auto pending = std::make_unique<Pending>();
+    auto pending = std::make_unique<PendingCall>();
     pending->link = linkTo(host, address, !mayRepeat);
     pending->handler = std::move(handler);
     Link& link = *pending->link;
@@ -105,10 +105,10 @@
     return id;
 }
 
-Peers::Pending* Peers::find(Link& link, uint64_t id)
+Peers::PendingCall* Peers::find(Link& link, uint64_t id)
 {
     auto it = m_calls.find(id);
-    // An id of another link is none of this peer's business, whatever it says.
+    // A peer may refer only to calls that were sent over its own link.
     return it == m_calls.end() || it->second->link.get() != &link ? nullptr : it->second.get();
 }
 
@@ -164,20 +164,20 @@
         return answer(std::string(data.begin(), data.end()));
     }
     default:
-        link.link->fail(base::fail(Code::MessageMalformed, "a message that no accepting node sends"));
+        link.link->fail(base::fail(Code::MessageMalformed, "unexpected message type from an accepting node"));
     }
 }
 
 void Peers::onAnswerHead(Link& link, inner::wire::AnswerHead::Reader message)
 {
-    Pending* it = find(link, message.getId());
+    PendingCall* it = find(link, message.getId());
     if (it && it->handler.head)
         it->handler.head(readHead(message));
 }
 
 void Peers::onAnswerBody(Link& link, inner::wire::AnswerBody::Reader message)
 {
-    Pending* it = find(link, message.getId());
+    PendingCall* it = find(link, message.getId());
     if (!it)
         return;
     const auto data = message.getData();
@@ -190,12 +190,12 @@
 
 void Peers::onAnswerEnd(Link& link, inner::wire::AnswerEnd::Reader message)
 {
-    Pending* it = find(link, message.getId());
+    PendingCall* it = find(link, message.getId());
     if (!it)
         return;
     CallEnd end;
     if (it->received != message.getBodyBytes())
-        end.error = base::fail(Code::AnswerCut, "a part of the answer is missing");
+        end.error = base::fail(Code::AnswerCut, "the received body length differs from the sent one");
     if (message.hasLoad())
         end.load = readLoad(message.getLoad());
     end.runMicros = static_cast<int64_t>(message.getRunMicros());
@@ -239,11 +239,11 @@
         answer({});
 }
 
-void Peers::askClaim(const base::HostId& host, const base::Address& address, const std::string& body, OnClaimAnswer answer)
+void Peers::sendClaimMessage(const base::HostId& host, const base::Address& address, const std::string& body, OnClaimAnswer answer)
 {
     const auto it = linkTo(host, address, true);
     it->lastUsed = base::steadyNow();
-    if (it->claims.size() >= mostClaimsPending)
+    if (it->claims.size() >= maxPendingClaims)
         return answer({});
     const uint64_t id = ++m_lastId;
     it->claims[id] = std::move(answer);
@@ -265,10 +265,10 @@
 {
     const base::Time now = base::steadyNow();
     findSuspects(now);
-    if (now - m_cleanedAt < cleanEvery)
+    if (now - m_idleLinksCheckedAt < idleLinkCheckInterval)
         return;
-    m_cleanedAt = now;
-    closeUnused(now);
+    m_idleLinksCheckedAt = now;
+    closeUnusedLinks(now);
 }
 
 void Peers::findSuspects(base::Time now)
@@ -280,7 +280,7 @@
         if (silent)
             m_suspects.push_back(host);
     }
-    // In a copy: what follows may dial, and so change the list.
+    // Iterates over a copy, since the handler may dial and change the list.
     const auto found = m_suspects;
     for (const base::HostId& host : found) {
         if (std::find(before.begin(), before.end(), host) == before.end())
@@ -288,13 +288,13 @@
     }
 }
 
-void Peers::closeUnused(base::Time now)
+void Peers::closeUnusedLinks(base::Time now)
 {
     for (const auto& it : m_links) {
         const auto current = m_current.find(it->host);
         const bool replaced = current == m_current.end() || current->second != it;
         const bool unused = it->calls == 0 && it->claims.empty();
-        if (unused && (replaced || now - it->lastUsed > idleLinkLife))
+        if (unused && (replaced || now - it->lastUsed > idleLinkTimeout))
             it->link->fail(base::fail(Code::PeerGone, "no longer used"));
     }
 }
--- a/src/appletally/node/peers.h
+++ b/src/appletally/node/peers.h
@@ -1,4 +1,4 @@
-// Links that this node dials: calls to other hosts' owners, and claims to keepers.
+// Outbound links of this node: calls to the owners on other hosts, and claim messages to keepers.
 #pragma once
 
 #include "appletally/inner/node_link.h"
@@ -17,10 +17,10 @@
 class Peers {
 public:
     struct Events {
-        std::function<void(const base::HostId&, const policy::Load&)> load; // told by an owner unasked
-        std::function<void(const base::HostId&)> suspected; // nothing was heard from it for a while; see suspects()
+        std::function<void(const base::HostId&, const policy::Load&)> load; // unsolicited load report of an owner
+        std::function<void(const base::HostId&)> suspected; // the host is unresponsive; see suspects()
     };
-    // No answer, or the keeper could not be reached: an empty body.
+    // The body is empty if the keeper did not answer or could not be reached.
     using OnClaimAnswer = std::function<void(const std::string& body)>;
 
     Peers(event_base*, const inner::Membership&, Events);
@@ -32,15 +32,15 @@
     void cancel(PeerCallId); // no callback follows
     void consumed(PeerCallId, uint64_t bytes);
 
-    void askClaim(const base::HostId&, const base::Address&, const std::string& body, OnClaimAnswer);
-    // Hosts from which nothing has come for provenFresh, though their links are not yet given up. What may be sent twice
-    // should go elsewhere now; what may not waits for the link's own limit, since giving it up makes its outcome unknown.
+    void sendClaimMessage(const base::HostId&, const base::Address&, const std::string& body, OnClaimAnswer);
+    // Hosts from which nothing was received for provenFresh, though their links are not closed yet. Idempotent requests
+    // should go elsewhere now; others wait for the link's own timeout, since abandoning them makes their outcome unknown.
     const std::vector<base::HostId>& suspects() const { return m_suspects; }
     size_t links() const { return m_links.size(); }
 
 private:
     struct Link;
-    struct Pending;
+    struct PendingCall;
     std::shared_ptr<Link> linkTo(const base::HostId&, const base::Address&, bool mustBeFresh);
     void onMessage(Link&, inner::wire::LinkMessage::Reader);
     void onAnswerHead(Link&, inner::wire::AnswerHead::Reader);
@@ -49,19 +49,19 @@
     void onDown(Link&, const base::Error&);
     void onTick();
     void findSuspects(base::Time now);
-    void closeUnused(base::Time now);
+    void closeUnusedLinks(base::Time now);
     void finish(PeerCallId, const CallEnd&);
-    Pending* find(Link&, uint64_t id);
+    PendingCall* find(Link&, uint64_t id);
 
     event_base* m_loop;
     const inner::Membership* m_membership;
     Events m_events;
     event* m_tick = nullptr;
-    std::list<std::shared_ptr<Link>> m_links; // also those that a fresh one has replaced, until their calls are done
+    std::list<std::shared_ptr<Link>> m_links; // including replaced ones, until their calls have ended
     std::map<base::HostId, std::shared_ptr<Link>> m_current;
-    std::map<PeerCallId, std::unique_ptr<Pending>> m_calls;
+    std::map<PeerCallId, std::unique_ptr<PendingCall>> m_calls;
     std::vector<base::HostId> m_suspects;
-    base::Time m_cleanedAt;
+    base::Time m_idleLinksCheckedAt;
     PeerCallId m_lastId = 0;
 };
 
--- a/src/appletally/node/run.cpp
+++ b/src/appletally/node/run.cpp
@@ -1,4 +1,4 @@
-// Runs a node as a process: its loop, its control link and its signals.
+// Runs a node as a process: event loop, control link and signals.
 #include "appletally/base/log.h"
 #include "appletally/node/node.h"
 
@@ -37,7 +37,7 @@
 int runNode(const NodeSettings& settings, const MakePort& makePort)
 {
     std::signal(SIGPIPE, SIG_IGN);
-    std::signal(SIGHUP, SIG_IGN); // a port that can reload looks at its file by itself; unhandled it would end the process
+    std::signal(SIGHUP, SIG_IGN); // a port that supports reloading watches its file itself; unhandled, the signal would end the process
     if (sodium_init() < 0)
         return base::exitCode(base::Code::Internal);
     base::startLog("appletally-node", settings.membership.host.text, settings.minSeverity);
@@ -67,7 +67,7 @@
         event* interrupt = evsignal_new(loop, SIGINT, onSignal, &process);
         event_add(term, nullptr);
         event_add(interrupt, nullptr);
-        // Said only now: whoever starts us may signal as soon as this line is out.
+        // Logged only now, since the parent may send signals as soon as it sees this line.
         base::logEvent(base::Event::Started, "callers " + addresses.value().callers.text() + ", inner " + addresses.value().inner.text() + ", announce " + addresses.value().announce.text() + ", operators " + operators.value().text());
         event_base_dispatch(loop);
         event_free(term);
--- a/src/appletally/node/settings.cpp
+++ b/src/appletally/node/settings.cpp
@@ -1,4 +1,4 @@
-// The keys of a node's settings with their ranges; docs/OPERATING.md lists them.
+// Keys and ranges of the node settings; documented in docs/OPERATING.md.
 #include "appletally/node/settings.h"
 
 namespace appletally::node {
@@ -12,7 +12,7 @@
     for (const std::string& it : reader.texts(key)) {
         const auto address = base::parseAddress(it);
         if (!address)
-            reader.refuse(Code::SettingsOutOfRange, key, "IP numbers with ports, such as 127.0.0.1:7000");
+            reader.refuse(Code::SettingsOutOfRange, key, "IP addresses with ports, such as 127.0.0.1:7000");
         else
             out.push_back(address.value());
     }
@@ -25,7 +25,7 @@
     out.inner = reader.address("inner");
     out.announce = reader.address("announce");
     out.operators = reader.address("operators");
-    // Whoever can announce an upstream gets the host's traffic; nobody but the host itself may.
+    // A process that can announce an upstream receives the host's traffic, so only processes on the host itself may.
     if (!out.announce.ip.empty() && !out.announce.ip.starts_with("127."))
         reader.refuse(Code::SettingsOutOfRange, "announce", "a loopback address, such as 127.0.0.1:7003");
     reader.finish();
@@ -63,7 +63,7 @@
     out.voters = addresses(top, "voters");
     out.sources = addresses(top, "sources");
     if (out.voters.empty())
-        top.refuse(Code::SettingsMissingKey, "voters", "the addresses of the control processes that vote");
+        top.refuse(Code::SettingsMissingKey, "voters", "the addresses of the voters");
     if (out.sources.empty())
         out.sources = out.voters;
     if (top.has("limits"))
--- a/src/appletally/node/settings.h
+++ b/src/appletally/node/settings.h
@@ -1,4 +1,4 @@
-// Settings of appletally-node: one JSON file, checked whole before anything starts.
+// Settings of appletally-node: one JSON file, validated completely before anything starts.
 #pragma once
 
 #include "appletally/base/json_reader.h"
@@ -17,20 +17,20 @@
     inner::Membership membership; // cluster, key, host
     base::ZoneName zone;
     base::RegionName region;
-    base::Address callers; // HTTP of callers
-    base::Address inner; // links of other nodes
-    base::Address announce; // HTTP of the upstream beside this node; loopback only
+    base::Address callers; // HTTP for callers
+    base::Address inner; // links from other nodes
+    base::Address announce; // HTTP for the upstream beside this node; loopback only
     base::Address operators; // state dump
     std::vector<base::Address> voters;
-    std::vector<base::Address> sources; // empty: the voters
+    std::vector<base::Address> sources; // of configuration; empty: the voters
     http::ListenerLimits limits;
     Dialect dialect;
     CallFeatures features;
     policy::AdmissionParts admission;
-    base::ServiceName service; // of the upstream beside this node; empty: only its announcements say
-    base::Duration announcementTimeout { 3000 }; // an upstream renews its announcement every second; three missed ones mean that it is gone
-    base::Duration drainTime { 2000 }; // after SIGTERM, goes on taking what still arrives while callers move on
-    base::Duration gracefulShutdownTimeout { 30000 }; // after SIGTERM, ends even if requests still run
+    base::ServiceName service; // of the upstream beside this node; empty: known only from its announcements
+    base::Duration announcementTimeout { 3000 }; // an upstream renews its announcement every second; it is removed after three missed renewals
+    base::Duration drainTime { 2000 }; // after SIGTERM, new requests are served for so long while callers move to other nodes
+    base::Duration gracefulShutdownTimeout { 30000 }; // after SIGTERM, the process exits even if requests are still active
     base::Severity minSeverity = base::Severity::Info;
 };
 
--- a/src/appletally/node/wire.cpp
+++ b/src/appletally/node/wire.cpp
@@ -1,4 +1,4 @@
-// Field by field translation of link messages.
+// Field-by-field conversion of link messages.
 #include "appletally/node/wire.h"
 
 #include <algorithm>
@@ -44,14 +44,14 @@
     out.setIdempotent(in.idempotent);
     out.setPriority(static_cast<uint8_t>(in.priority));
     out.setExpectedMs(in.expected.ms);
-    out.setHasFullWorth(in.fullWorthBy.has_value());
-    if (in.fullWorthBy)
-        out.setFullWorthMs((*in.fullWorthBy - now).ms);
-    if (!in.old)
+    out.setHasFullWorth(in.targetDeadline.has_value());
+    if (in.targetDeadline)
+        out.setFullWorthMs((*in.targetDeadline - now).ms);
+    if (!in.baseline)
         return;
     out.setHasOld(true);
-    out.setOldFailures(in.old->failureRate);
-    out.setOldMedianMs(in.old->medianMs);
+    out.setOldFailures(in.baseline->failureRate);
+    out.setOldMedianMs(in.baseline->medianMs);
 }
 
 Call readCall(wire::Call::Reader in, base::Time now)
@@ -74,9 +74,9 @@
     out.priority = static_cast<config::Priority>(std::min<uint8_t>(in.getPriority(), config::priorityCount - 1));
     out.expected = { std::max<int64_t>(in.getExpectedMs(), 1) };
     if (in.getHasFullWorth())
-        out.fullWorthBy = now + base::Duration { in.getFullWorthMs() };
+        out.targetDeadline = now + base::Duration { in.getFullWorthMs() };
     if (in.getHasOld())
-        out.old = policy::CallerBaseline { in.getOldFailures(), in.getOldMedianMs() };
+        out.baseline = policy::CallerBaseline { in.getOldFailures(), in.getOldMedianMs() };
     return out;
 }
 
--- a/src/appletally/node/wire.h
+++ b/src/appletally/node/wire.h
@@ -1,4 +1,4 @@
-// Translates between a link's messages and the structs of call.h. Nothing is decided here.
+// Converts between link messages and the structs of call.h.
 #pragma once
 
 #include "appletally/inner/link.capnp.h"
@@ -6,14 +6,14 @@
 
 namespace appletally::node {
 
-// The deadline travels as what remains of it, since two hosts' clocks have nothing in common.
+// The deadline is sent as the remaining time, since the clocks of two hosts are not comparable.
 void writeCall(inner::wire::Call::Builder, uint64_t id, const Call&, base::Time now);
 Call readCall(inner::wire::Call::Reader, base::Time now);
 
 void writeHead(inner::wire::AnswerHead::Builder, uint64_t id, const http::AnswerHead&);
 http::AnswerHead readHead(inner::wire::AnswerHead::Reader);
 
-void writeRefused(inner::wire::Refused::Builder, uint64_t id, const CallEnd&); // the end has an error
+void writeRefused(inner::wire::Refused::Builder, uint64_t id, const CallEnd&); // `end.error` must be set
 CallEnd readRefused(inner::wire::Refused::Reader);
 
 void writeLoad(inner::wire::Load::Builder, const policy::Load&);
--- a/tests/at_most_once_test.cpp
+++ b/tests/at_most_once_test.cpp
@@ -1,4 +1,4 @@
-// A plug command through real nodes: it runs at most once, whatever breaks, and what the caller is told is true.
+// Keyed requests through real nodes run at most once despite failures, and the reported outcome is correct.
 #include "node_fixture.h"
 
 #include <catch2/catch.hpp>
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Three nodes keep claims. "a" and "c" have an upstream of the plug control service each; callers come to "b" and "c".
-struct Three {
+// Three nodes are keepers. "a" and "c" have an upstream of the plug control service each; callers connect to "b" and "c".
+struct ThreeNodes {
     TestMesh mesh;
     TestUpstream first { mesh.loop() };
     TestUpstream second { mesh.loop() };
@@ -16,7 +16,7 @@
     TestNode& b;
     TestNode& c;
 
-    Three()
+    ThreeNodes()
         : a(mesh.addNode("a", "z1"))
         , b(mesh.addNode("b", "z2"))
         , c(mesh.addNode("c", "z3"))
@@ -41,11 +41,11 @@
 
 } // namespace
 
-TEST_CASE("a resend of a finished command gets the first answer and does not run again", "[at-most-once]")
+TEST_CASE("a resend of a completed request gets the recorded answer and does not run again", "[at-most-once]")
 {
-    // A crew's tablet loses the answer to a plug disconnect and sends it again, through another node. Run twice, it
-    // would cut the cooling of the next ship on that plug.
-    Three it;
+    // A client loses the answer to a plug disconnect and resends it through another node. A second run would disconnect the
+    // next ship on that plug.
+    ThreeNodes it;
     const auto answer = it.disconnect(it.b, "k1");
     REQUIRE(it.mesh.run([&] { return answer->done; }));
     REQUIRE(answer->status == 200);
@@ -60,9 +60,8 @@
 
 TEST_CASE("the same key sent through two nodes at once runs once", "[at-most-once]")
 {
-    // An impatient client sends the command again while the first is still running. The second is told that the key is
-    // held, never that nothing ran.
-    Three it;
+    // A client resends a request while the first send is still running. The second must get claim-held, never not run.
+    ThreeNodes it;
     it.addSecond();
     it.first.hold = it.second.hold = true;
     const auto one = it.disconnect(it.b, "k2");
@@ -77,11 +76,11 @@
     CHECK(refused->headers["appletally-not-run"].empty());
 }
 
-TEST_CASE("the owner's node dies while a command runs: a resend elsewhere does not run it again", "[at-most-once]")
+TEST_CASE("the owner dies during a run: a resend elsewhere does not run again", "[at-most-once]")
 {
-    // The host beside the plug loses its node in the middle of a disconnect. The command may have reached the plug, so
-    // neither the first caller nor the resend may be told that it did not run, and no other upstream may get it.
-    Three it;
+    // The owner is lost while a disconnect runs. The request may have taken effect, so neither the first send nor the resend
+    // may be answered with not run, and no other upstream may receive it.
+    ThreeNodes it;
     it.first.hold = true;
     const auto answer = it.disconnect(it.b, "k3");
     REQUIRE(it.mesh.run([&] { return it.first.held.size() == 1; }));
@@ -97,11 +96,11 @@
     CHECK(it.runs("k3") == 1);
 }
 
-TEST_CASE("a refusal of a resend says not run only if no earlier send has run", "[at-most-once]")
+TEST_CASE("a resend is refused as not run only if no earlier send has run", "[at-most-once]")
 {
-    // The answer to a disconnect is lost, the upstream drains, and the crew sends the command again. This send runs
-    // nowhere; a refusal that says so would be read as leave to send the command under a new key.
-    Three it;
+    // The answer to a disconnect is lost, the upstream drains, and the client resends the request. The resend does not run,
+    // but if it were answered with not run, the client could send the request under a new key and run it twice.
+    ThreeNodes it;
     const auto answer = it.disconnect(it.b, "k6");
     REQUIRE(it.mesh.run([&] { return answer->done; }));
     it.mesh.announce(it.a, it.first, "draining", 10, "1.0", "plug-control");
@@ -115,10 +114,11 @@
     CHECK(it.runs("k7") == 0);
 }
 
-TEST_CASE("with two of three keepers gone a command is refused and has truly not run", "[at-most-once]")
+TEST_CASE("without a majority of keepers a request is refused and does not run", "[at-most-once]")
 {
-    // Two hosts fail together. Without a majority nobody can know whether the key ran, so nothing may run under it.
-    Three it;
+    // Two of three hosts fail together. Without a majority of keepers it is unknown whether the key has run, so nothing may
+    // run under it.
+    ThreeNodes it;
     it.mesh.announce(it.c, it.second, "ready", 10, "1.0", "plug-control");
     it.mesh.removeNode("a");
     it.mesh.removeNode("b");
@@ -128,11 +128,11 @@
     CHECK(it.runs("k4") == 0);
 }
 
-TEST_CASE("one key with two different requests: the second is refused", "[at-most-once]")
+TEST_CASE("a key that is reused for a different request is refused", "[at-most-once]")
 {
-    // A client's counter starts over and an old key comes with a command for another berth. The first one's answer
-    // would tell the crew that this berth was disconnected.
-    Three it;
+    // A client's key counter restarts, and an old key arrives with a request for another berth. The recorded answer would
+    // wrongly report that this berth was disconnected.
+    ThreeNodes it;
     const auto answer = it.disconnect(it.b, "k5");
     REQUIRE(it.mesh.run([&] { return answer->done; }));
     const auto other = it.disconnect(it.b, "k5", "{\"berth\":8}");
@@ -141,10 +141,10 @@
     CHECK(it.runs("k5") == 1);
 }
 
-TEST_CASE("a bad new version is stopped by the node beside it, and callers are served by the old one", "[rollout]")
+TEST_CASE("the owner stops a failing new version, and the old version serves its requests", "[rollout]")
 {
-    // A new version fails on every request. Until control has heard and agreed, hundreds of milliseconds pass; the node
-    // beside it sees each answer, and after a few its refusals are "not run", which the caller's node takes to the old one.
+    // A new version fails every request. A decision by control takes hundreds of milliseconds. The owner sees every answer and
+    // refuses calls as not run after a few failures, so the ingress sends them to the old version.
     TestMesh mesh;
     TestUpstream good(mesh.loop());
     TestUpstream bad(mesh.loop());
@@ -173,10 +173,10 @@
     CHECK(bad.runs == before);
 }
 
-TEST_CASE("a new version is not stopped for what fails the old one as well, and is for what does not", "[rollout]")
+TEST_CASE("a new version is stopped for failures of its own, not for those it shares with the old one", "[rollout]")
 {
-    // A store that both versions use goes away: stopping the new one would blame it for nothing, and the move would end.
-    // In the second half only the new one fails, and with control away every answer until it is stopped is lost.
+    // A store that both versions use fails: stopping the new version would end the rollout without cause. In the second pass
+    // only the new version fails, and without control every answer is lost until the owner stops it.
     for (const bool bothFail : { true, false }) {
         TestMesh mesh;
         TestUpstream old(mesh.loop());
@@ -194,7 +194,7 @@
                 REQUIRE(mesh.run([&] { return answer->done; }));
             }
         };
-        ask(200); // both well: the new one is past its warm-up, and the old one's baseline is known
+        ask(200); // both succeed: the new version is past its slow start, and the old one's baseline is known
         fresh.status = 500;
         old.status = bothFail ? 500 : 200;
         const int before = fresh.runs;
@@ -207,6 +207,6 @@
         if (bothFail)
             CHECK(fresh.runs - before >= 20);
         else
-            CHECK(fresh.runs - before <= 8); // without the old one's baseline it takes nineteen
+            CHECK(fresh.runs - before <= 8); // without the old version's baseline it takes 19
     }
 }
--- a/tests/edge_test.cpp
+++ b/tests/edge_test.cpp
@@ -1,4 +1,5 @@
-// Bad input at the callers' port and at the inner port: a clear answer or a close, within a bound, harming nobody else.
+// Invalid input at the callers' port and the inner port gets an error or a close within a time limit, without effect on
+// other callers.
 #include "node_fixture.h"
 
 #include "appletally/inner/frame.h"
@@ -30,7 +31,7 @@
         return answer->body;
     }
 
-    // Every other caller is served as if nothing had come.
+    // Other callers must still be served.
     void checkOthersServed()
     {
         const auto answer = mesh.ask(*node, "GET", "/berths/7", { "Request-Tag: other" });
@@ -41,10 +42,10 @@
 
 } // namespace
 
-TEST_CASE("bad requests are answered with a code and closed", "[edge]")
+TEST_CASE("invalid requests are answered with a result code and closed", "[edge]")
 {
-    // Broken clients and scanners reach every port that listens. Left unanswered or unbounded, each would hold memory
-    // and a connection that a crew member's request needs.
+    // Broken clients and port scanners reach every open port. Without an answer and limits, each would occupy memory and a
+    // connection that other requests need.
     struct Case {
         const char* what;
         std::string bytes;
@@ -52,10 +53,10 @@
     };
     const std::string big(40 * 1024, 'x');
     const Case cases[] = {
-        { "no HTTP", "\x16\x03\x01\x02garbage\r\n\r\n", "402" },
-        { "a method that nobody knows", "BREW /berths/7 HTTP/1.1\r\nHost: a\r\n\r\n", "402" },
+        { "not HTTP", "\x16\x03\x01\x02garbage\r\n\r\n", "402" },
+        { "an unknown method", "BREW /berths/7 HTTP/1.1\r\nHost: a\r\n\r\n", "402" },
         { "headers over the limit", "GET /berths/7 HTTP/1.1\r\nHost: a\r\nCookie: " + big.substr(0, 7000) + "\r\nA: " + big.substr(0, 7000) + "\r\nB: " + big.substr(0, 7000) + "\r\nC: " + big.substr(0, 7000) + "\r\nD: " + big.substr(0, 7000) + "\r\n\r\n", "403" },
-        { "a body that says it is over the route's limit", "POST /plugs/connect HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999\r\n\r\n", "404" },
+        { "a Content-Length over the route's limit", "POST /plugs/connect HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999\r\n\r\n", "404" },
         { "a chunked body over the route's limit", "POST /plugs/connect HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\na000\r\n" + big + "\r\n0\r\n\r\n", "404" },
     };
     for (const Case& it : cases) {
@@ -69,10 +70,10 @@
     }
 }
 
-TEST_CASE("path and query reach the upstream as they were sent", "[edge]")
+TEST_CASE("path and query reach the upstream unchanged", "[edge]")
 {
-    // A path that is decoded on the way and sent on as it is could end the request line early, and what follows would be
-    // read as a header or as a second request that nobody admitted.
+    // A path that is decoded and forwarded without encoding could end the request line early. The rest would be parsed as a
+    // header or as a second request that bypassed admission.
     Edge edge;
     for (const std::string target : { "/berths/a%20b%0d%0aEvil:%201", "/berths/7?x=%2F&y=1&z", "/berths/%c3%a9;v=1?q=a+b", "/berths//7/../8" }) {
         INFO(target);
@@ -83,19 +84,19 @@
     }
 }
 
-TEST_CASE("a caller that sends a byte at a time is cut off after the stated time", "[edge]")
+TEST_CASE("a caller that sends too slowly is disconnected after the receive timeout", "[edge]")
 {
-    // A caller on a dying radio link, or one that means harm, keeps a request open for ever. Enough of them and no
-    // connection is left for anybody else.
+    // A caller on a failing link, or a malicious one, keeps an incomplete request open indefinitely. Enough of them would use
+    // up all connections.
     Edge edge({ .receiveTime = { 300 } });
     const std::string answer = edge.raw(edge.node->addresses.callers, "GET /berths/7 HTTP/1.1\r\nHo");
     CHECK(answer.find("Appletally-Result: 415") != std::string::npos);
     edge.checkOthersServed();
 }
 
-TEST_CASE("a connection that closes in the middle of a body runs nothing", "[edge]")
+TEST_CASE("a request whose connection closes within the body does not run", "[edge]")
 {
-    // A crew's tablet loses its network while it sends a plug command. Running what arrived would act on half a command.
+    // A client loses its network while it sends a plug command. Running the received part would execute an incomplete command.
     Edge edge;
     auto* raw = bufferevent_socket_new(edge.mesh.loop(), -1, BEV_OPT_CLOSE_ON_FREE);
     bufferevent_enable(raw, EV_WRITE);
@@ -112,17 +113,17 @@
     REQUIRE(edge.mesh.run([&] { return written && evbuffer_get_length(bufferevent_get_output(raw)) == 0; }));
     bufferevent_free(raw);
     edge.checkOthersServed();
-    CHECK(edge.upstream->runs == 1); // the other caller's only
+    CHECK(edge.upstream->runs == 1); // only the other caller's request
 }
 
-TEST_CASE("a caller that stops reading is dropped and its upstream's slot is free again", "[edge]")
+TEST_CASE("a caller that stops reading is disconnected and the upstream's slot is released", "[edge]")
 {
-    // A billing clerk's laptop goes to sleep while an archive streams. The stream must not pile up in the node, and
-    // must not hold one of the few slots until somebody opens the laptop.
+    // A client is suspended while a large answer is streamed. The answer must not accumulate in the node's memory, and must
+    // not occupy a slot until the client resumes.
     Edge edge({ .stalledTime = { 300 } });
     edge.upstream->bodyBytes = 32 * 1024 * 1024;
     auto* raw = bufferevent_socket_new(edge.mesh.loop(), -1, BEV_OPT_CLOSE_ON_FREE);
-    bufferevent_enable(raw, EV_WRITE); // and never reads
+    bufferevent_enable(raw, EV_WRITE); // no EV_READ: the client never reads
     sockaddr_in to {};
     to.sin_family = AF_INET;
     to.sin_port = htons(edge.node->addresses.callers.port);
@@ -141,21 +142,21 @@
     bufferevent_free(raw);
 }
 
-TEST_CASE("a stopping node ends only when the caller has its whole answer", "[edge]")
+TEST_CASE("a stopping node exits only after the caller has received the complete answer", "[edge]")
 {
-    // A node is stopped for an update just as an upstream's answer has come, over a slow line. Ended with a part of the
-    // answer still in its own memory, the node cuts a member's payment whose outcome nobody then knows.
+    // A node is stopped just after the upstream has answered, and the caller's link is slow. If the node exited with a part of
+    // the answer still in its memory, the caller would not know the outcome of its request.
     Edge edge;
     edge.upstream->bodyBytes = 250 * 1024;
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
-    const int little = 64 * 1024; // what the line takes at once
-    setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &little, sizeof little);
+    const int receiveBufferBytes = 64 * 1024; // limits what the connection accepts at once
+    setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &receiveBufferBytes, sizeof receiveBufferBytes);
     sockaddr_in to {};
     to.sin_family = AF_INET;
     to.sin_port = htons(edge.node->addresses.callers.port);
     to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     REQUIRE(::connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) == 0);
-    constexpr int answers = 24; // together more than the system takes from the node at once
+    constexpr int answers = 24; // together more than the system's socket buffers accept at once
     std::string requests;
     for (int n = 0; n < answers; ++n)
         requests += "GET /archive/" + std::to_string(n) + " HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -165,29 +166,29 @@
     bool stopped = false;
     edge.node->node->stop([&] { stopped = true; });
     evutil_make_socket_nonblocking(fd);
-    event* awake = event_new(
+    event* wakeTimer = event_new(
         edge.mesh.loop(), -1, EV_PERSIST, [](evutil_socket_t, short, void*) {}, nullptr);
-    const timeval often { 0, 1000 };
-    event_add(awake, &often);
+    const timeval wakeInterval { 0, 1000 };
+    event_add(wakeTimer, &wakeInterval);
     size_t got = 0;
-    const base::Time begins = base::steadyNow() + base::Duration { 400 }; // later than the node would end by itself
+    const base::Time readsFrom = base::steadyNow() + base::Duration { 400 }; // later than the node would exit without unsent data
     REQUIRE(edge.mesh.run([&] {
         char bytes[64 * 1024];
-        const ssize_t n = base::steadyNow() < begins ? 0 : ::read(fd, bytes, sizeof bytes);
+        const ssize_t n = base::steadyNow() < readsFrom ? 0 : ::read(fd, bytes, sizeof bytes);
         got += n > 0 ? static_cast<size_t>(n) : 0;
         if (stopped && edge.node->node)
-            edge.node->node.reset(); // the process is gone, and what it had not written with it
-        return stopped && n == 0 && base::steadyNow() >= begins;
+            edge.node->node.reset(); // the process has exited; data not yet written is lost
+        return stopped && n == 0 && base::steadyNow() >= readsFrom;
     }));
-    event_free(awake);
+    event_free(wakeTimer);
     ::close(fd);
     CHECK(got > answers * edge.upstream->bodyBytes);
 }
 
-TEST_CASE("the inner port closes on garbage, another cluster, a wrong key and oversized frames", "[edge]")
+TEST_CASE("the inner port closes on malformed data, another cluster, a wrong key and oversized frames", "[edge]")
 {
-    // Anybody on the network can connect to the inner port. What is sent there acts for callers, so only holders of
-    // the cluster's key get past the greeting, and nobody makes the node hold more than a few kilobytes before.
+    // Any host on the network can connect to the inner port, and messages there act on behalf of callers. So the handshake
+    // requires the cluster key, and before it a peer must not make the node buffer more than a few kilobytes.
     Edge edge;
     const std::string cases[] = { std::string("GET / HTTP/1.1\r\n\r\n"), std::string("\xff\xff\xff\xff", 4), std::string("\0\0\0\x10garbagegarbage!!", 20), std::string("\0\0\0\0", 4) };
     for (const std::string& it : cases)
--- a/tests/mesh_process_test.cpp
+++ b/tests/mesh_process_test.cpp
@@ -1,4 +1,4 @@
-// The whole path as processes: a voter, three nodes, stand-in upstreams, and a caller over a plain socket.
+// End-to-end tests with processes: a voter, three nodes, simulated upstreams, and a caller on a plain socket.
 #include "appletally/appletally.h"
 #include "process_fixture.h"
 
@@ -24,26 +24,26 @@
     Program upstream;
 };
 
-// A request that waits for its answer while the test goes on.
-class Asked {
+// A request that has been sent; the answer is read later.
+class PendingRequest {
 public:
-    Asked(const Port& port, const std::string& request)
+    PendingRequest(const Port& port, const std::string& request)
         : m_fd(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
     {
         sockaddr_in to {};
         to.sin_family = AF_INET;
         to.sin_port = htons(port.number());
         to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-        const timeval patience { patienceSeconds, 0 };
-        setsockopt(m_fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+        const timeval timeout { waitTimeoutSeconds, 0 };
+        setsockopt(m_fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
         REQUIRE(connect(m_fd, reinterpret_cast<sockaddr*>(&to), sizeof to) == 0);
         REQUIRE(write(m_fd, request.data(), request.size()) == static_cast<ssize_t>(request.size()));
     }
-    ~Asked() { close(m_fd); }
-    Asked(const Asked&) = delete;
-    Asked& operator=(const Asked&) = delete;
+    ~PendingRequest() { close(m_fd); }
+    PendingRequest(const PendingRequest&) = delete;
+    PendingRequest& operator=(const PendingRequest&) = delete;
 
-    std::string answer() // all until the node closes
+    std::string answer() // reads until the node closes the connection
     {
         std::string out;
         char buf[4096];
@@ -97,7 +97,7 @@
         return it;
     }
 
-    // Runs take `milliseconds`; each run is a line "run KEY PATH VERSION" on the upstream's output.
+    // Each run takes `milliseconds` and prints a line "run KEY PATH VERSION" on the upstream's output.
     static void addUpstream(Host& it, const std::string& service, int milliseconds)
     {
         it.upstream = Program("standin-upstream", { "--listen", it.upstreamPort.address(), "--announce", it.announce.address(), "--service", service, "--software", "1.0", "--run", "/=" + std::to_string(milliseconds), "--log", "/dev/stdout" });
@@ -114,11 +114,10 @@
 
 } // namespace
 
-TEST_CASE("a disconnect whose node is killed in the middle and that is sent again elsewhere runs once", "[process][at-most-once]")
+TEST_CASE("a request whose owner is killed during the run and that is resent elsewhere runs once", "[process][at-most-once]")
 {
-    // The host beside the plug loses its node in the middle of a disconnect, and the crew's tablet sends the command again
-    // through another node. Run twice, it would cut the cooling of the ship that got the plug next. Nobody may tell the
-    // crew that it did not run, because it did.
+    // The owner is killed while a plug disconnect runs, and the client resends the request through another node. A second run
+    // would disconnect the next ship on that plug. No answer may report not run, because the request has run.
     Mesh mesh;
     Host& a = mesh.addHost("a");
     Host& b = mesh.addHost("b");
@@ -130,24 +129,24 @@
     for (const auto& host : mesh.hosts)
         host->node.waitLine({ "keeper-set-changed", "of 3 hosts" });
 
-    Asked first(b.callers, disconnectWith("k1"));
+    PendingRequest first(b.callers, disconnectWith("k1"));
     a.upstream.waitLine({ "run k1 " });
     a.node.signal(SIGKILL);
     const std::string lost = first.answer();
     CHECK(lost.find("Appletally-Result: 501") != std::string::npos);
     CHECK(lost.find("Appletally-Not-Run") == std::string::npos);
 
-    // Another upstream of the service is there now, and could run it.
+    // Another upstream of the service is available now and could run the request.
     Host& d = mesh.addHost("d");
     d.node.waitLine({ "version-applied" });
     Mesh::addUpstream(d, "plug-control", 1);
-    Asked again(d.callers, disconnectWith("k1"));
+    PendingRequest again(d.callers, disconnectWith("k1"));
     const std::string refused = again.answer();
     INFO(refused);
     CHECK(refused.find("HTTP/1.1 200") == std::string::npos);
     CHECK(refused.find("Appletally-Not-Run") == std::string::npos);
 
-    Asked other(d.callers, disconnectWith("k2"));
+    PendingRequest other(d.callers, disconnectWith("k2"));
     const std::string served = other.answer();
     INFO(served);
     CHECK(served.find("HTTP/1.1 200") != std::string::npos);
@@ -159,10 +158,10 @@
     CHECK(countOf(runs, "run k2 ") == 1);
 }
 
-TEST_CASE("reads are answered while a host is frozen, and after it is thawed", "[process][slow-upstream]")
+TEST_CASE("reads are answered while a host is frozen and after it resumes", "[process][slow-upstream]")
 {
-    // A host stops for seconds with its connections open: its disk hangs, its machine is moved, or a network device has
-    // forgotten its connections. Nothing reports an error. Agents who look at a berth must not notice, beyond a second.
+    // A host freezes for seconds with its connections open: its disk hangs, its machine is migrated, or a network device has
+    // lost the state of its connections. No error is reported. Reads must be answered with at most a second of delay.
     Mesh mesh;
     Host& a = mesh.addHost("a");
     Host& b = mesh.addHost("b");
@@ -171,17 +170,17 @@
     Mesh::addUpstream(c, "berth-data", 1);
     mesh.submit("berthgrid.json");
     b.node.waitLine({ "version-applied" });
-    const auto whole = [&](int count) {
+    const auto countSucceeded = [&](int count) {
         int out = 0;
         for (int n = 0; n < count; ++n)
-            out += Asked(b.callers, "GET /berths/" + std::to_string(n) + " HTTP/1.1\r\nHost: mesh\r\nConnection: close\r\n\r\n").answer().find("HTTP/1.1 200") != std::string::npos;
+            out += PendingRequest(b.callers, "GET /berths/" + std::to_string(n) + " HTTP/1.1\r\nHost: mesh\r\nConnection: close\r\n\r\n").answer().find("HTTP/1.1 200") != std::string::npos;
         return out;
     };
-    while (whole(1) == 0) { // until the endpoints have come to b; each ask is an answer waited for
+    while (countSucceeded(1) == 0) { // until b has received the endpoints; each iteration waits for an answer
     }
-    REQUIRE(whole(20) == 20);
+    REQUIRE(countSucceeded(20) == 20);
     a.node.signal(SIGSTOP);
-    CHECK(whole(200) == 200);
+    CHECK(countSucceeded(200) == 200);
     a.node.signal(SIGCONT);
-    CHECK(whole(50) == 50);
+    CHECK(countSucceeded(50) == 50);
 }
--- a/tests/node_fixture.cpp
+++ b/tests/node_fixture.cpp
@@ -1,4 +1,4 @@
-// See the header: everything on loopback, ports from the system, one loop.
+// All sockets are on loopback with ports assigned by the system; everything runs in one event loop.
 #include "node_fixture.h"
 
 #include "appletally/config/generate.h"
@@ -46,24 +46,24 @@
 
 void TestUpstream::answerLater(evhttp_request* request)
 {
-    struct Later {
+    struct DelayedAnswer {
         TestUpstream* upstream;
         evhttp_request* request;
     };
     const timeval wait { 0, static_cast<suseconds_t>(delay.ms * 1000) };
     event_base_once(
         loop, -1, EV_TIMEOUT, [](evutil_socket_t, short, void* arg) {
-            std::unique_ptr<Later> it(static_cast<Later*>(arg));
+            std::unique_ptr<DelayedAnswer> it(static_cast<DelayedAnswer*>(arg));
             it->upstream->answer(it->request);
         },
-        new Later { this, request }, &wait);
+        new DelayedAnswer { this, request }, &wait);
 }
 
 void TestUpstream::answer(evhttp_request* request)
 {
     const char* tag = evhttp_find_header(evhttp_request_get_input_headers(request), "Request-Tag");
     const std::string body = bodyBytes ? std::string(bodyBytes, 'x') : std::string(tag ? tag : "none");
-    if (cuts) {
+    if (truncatesAnswers) {
         evhttp_add_header(evhttp_request_get_output_headers(request), "Content-Length", std::to_string(body.size() + 100).c_str());
         evhttp_add_header(evhttp_request_get_output_headers(request), "Connection", "close");
     }
@@ -154,14 +154,14 @@
 {
     const auto json = base::readJsonFile(std::string(SOURCE_FOLDER) + "/" + answersFile);
     auto snapshot = std::make_shared<config::Snapshot>(config::generate(config::readAnswers(json.value(), answersFile).value()));
-    // As in a young mesh: first nobody keeps claims, then the log agrees on a set. A keeper that came up with a set that
-    // was agreed before would first have to learn what it may have forgotten.
-    auto young = std::make_shared<config::Snapshot>(*snapshot);
-    young->version = { ++m_version };
+    // As in a new mesh, the first version has no keepers and the next one names a keeper set. Keepers that start with an
+    // existing set would first have to catch up.
+    auto withoutKeepers = std::make_shared<config::Snapshot>(*snapshot);
+    withoutKeepers->version = { ++m_version };
     snapshot->version = { ++m_version };
     snapshot->keepers.number = { 1 };
     for (const auto& [host, it] : m_nodes) {
-        it->fromControl.send(inner::SnapshotReleased { young });
+        it->fromControl.send(inner::SnapshotReleased { withoutKeepers });
         snapshot->keepers.members.push_back({ { host }, it->addresses.inner });
     }
     event_base_loop(m_loop, EVLOOP_NONBLOCK);
@@ -216,7 +216,7 @@
 std::shared_ptr<TestAnswer> TestMesh::askRaw(const base::Address& address, const std::string& bytes)
 {
     auto answer = std::make_shared<TestAnswer>();
-    auto* kept = new std::shared_ptr<TestAnswer>(answer); // one a test; freed with the process
+    auto* kept = new std::shared_ptr<TestAnswer>(answer); // one per test; freed with the process
     bufferevent* raw = bufferevent_socket_new(m_loop, -1, BEV_OPT_CLOSE_ON_FREE);
     m_raw.push_back(raw);
     bufferevent_setcb(
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -1,4 +1,4 @@
-// Nodes, a stand-in upstream and a caller in one event loop, so that a test decides what happens when.
+// Nodes, simulated upstreams and callers in one event loop, so that a test controls the order of events.
 #pragma once
 
 #include "appletally/node/node.h"
@@ -12,25 +12,25 @@
 #include <vector>
 
 struct TestAnswer {
-    int status = 0; // 0: no whole answer came
+    int status = 0; // 0: no complete answer was received
     std::string body;
     std::map<std::string, std::string> headers; // names in lower case
     bool done = false;
 };
 
-// An upstream of a test: counts runs by idempotency key, and lets the test answer later.
+// A simulated upstream that counts runs by idempotency key. The test can delay its answers.
 struct TestUpstream {
     evhttp* http = nullptr;
     event_base* loop = nullptr;
     appletally::base::Address address;
     std::map<std::string, int> runsByKey;
-    std::vector<evhttp_request*> held; // with `hold`: requests that wait for answerHeld()
+    std::vector<evhttp_request*> held; // with `hold`: requests waiting for answerHeld()
     int runs = 0;
     std::string lastTarget;
     bool hold = false;
     appletally::base::Duration delay; // of each answer that is not held
     int status = 200;
-    bool cuts = false; // says a longer body than it sends, and closes
+    bool truncatesAnswers = false; // announces a longer body than it sends, then closes the connection
     size_t bodyBytes = 0; // 0: the body repeats the request's Request-Tag
 
     explicit TestUpstream(event_base*);
@@ -48,7 +48,7 @@
     std::string host;
 };
 
-// A rollout under way in the next snapshot; no service: none.
+// A rollout that runs in the next snapshot; empty service: none.
 struct TestRollout {
     std::string service;
     std::string from;
@@ -62,7 +62,7 @@
     ~TestMesh();
 
     TestNode& addNode(const std::string& host, const std::string& zone);
-    void removeNode(const std::string& host); // as kill does: its connections close
+    void removeNode(const std::string& host); // as if the process were killed: its connections close
     void announce(TestNode&, const TestUpstream&, const std::string& state, int slots = 10, const std::string& version = "1.0", const std::string& service = "berth-data");
     void applyEverywhere(const std::string& answersFile); // the generated snapshot, and every endpoint known so far
     void shareEndpoints();
@@ -70,10 +70,10 @@
     // `headers` as "Name: value". The answer is filled in while run() runs.
     std::shared_ptr<TestAnswer> ask(const TestNode&, const std::string& method, const std::string& target,
         const std::vector<std::string>& headers = {}, const std::string& body = "");
-    // Sends bytes as they are and collects what comes back until the peer closes.
+    // Sends raw bytes and collects the answer until the peer closes the connection.
     std::shared_ptr<TestAnswer> askRaw(const appletally::base::Address&, const std::string& bytes);
 
-    // Runs the loop until `done` says so; false: five seconds passed, which fails any test that uses it.
+    // Runs the loop until `done` returns true. Returns false after five seconds, on which tests fail.
     bool run(const std::function<bool()>& done);
     event_base* loop() { return m_loop; }
     std::map<std::string, std::unique_ptr<TestNode>>& nodes() { return m_nodes; }
--- a/tests/node_process_test.cpp
+++ b/tests/node_process_test.cpp
@@ -1,4 +1,4 @@
-// appletally-node as a process: settings that are refused, and how it ends.
+// appletally-node as a process: invalid settings, occupied ports, graceful shutdown.
 #include "appletally/appletally.h"
 #include "process_fixture.h"
 
@@ -24,13 +24,13 @@
 
 } // namespace
 
-TEST_CASE("a node refuses settings that it cannot keep, in one line", "[process][node]")
+TEST_CASE("a node rejects invalid settings with one line", "[process][node]")
 {
-    // A mistyped key or a wrong address is found on a reboot in the night. One line has to say which file, which key and
-    // what was expected, before anything listens.
+    // A mistyped key or a wrong address may surface only at an unattended reboot. One line has to name the file, the key and
+    // what was expected, before the node listens.
     using appletally::Code;
     struct Case {
-        json patch; // merged into good settings; null takes a key out
+        json patch; // merged into valid settings; null removes a key
         Code code;
         const char* line;
     };
@@ -55,7 +55,7 @@
     }
 }
 
-TEST_CASE("a node whose port is taken says which, and ends with its code", "[process][node]")
+TEST_CASE("a node whose port is in use names the address and exits with its code", "[process][node]")
 {
     Folder folder;
     Ports ports;
@@ -67,10 +67,10 @@
     CHECK(second.err.find("cannot listen on 127.0.0.1:") != std::string::npos);
 }
 
-TEST_CASE("a node ends gracefully on SIGTERM, also without control", "[process][node]")
+TEST_CASE("a node shuts down gracefully on SIGTERM, also without control", "[process][node]")
 {
-    // The host is shut down while control can't be reached. A node that waited for control would be killed in the end,
-    // and cut what still runs.
+    // The host is shut down while control is unreachable. A node that waited for control would be killed in the end, which
+    // aborts its active requests.
     Folder folder;
     Ports ports;
     writeFile(folder / "n.json", goodSettings(ports.addresses()));
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -1,4 +1,4 @@
-// The call path through two nodes: what callers get, and what they get when something on the way breaks.
+// The call path through two nodes: answers to callers, also when a part of the path fails.
 #include "deaf_address.h"
 #include "node_fixture.h"
 
@@ -8,14 +8,14 @@
 
 namespace {
 
-// Node "a" has the upstream; callers come to node "b".
-struct Pair {
+// Node "a" has the upstream; callers connect to node "b".
+struct NodePair {
     TestMesh mesh;
     TestUpstream upstream { mesh.loop() };
     TestNode& a;
     TestNode& b;
 
-    Pair()
+    NodePair()
         : a(mesh.addNode("a", "z1"))
         , b(mesh.addNode("b", "z2"))
     {
@@ -33,9 +33,9 @@
 
 } // namespace
 
-TEST_CASE("a caller's request to any node is answered through the upstream's own node", "[node]")
+TEST_CASE("a request to any node is answered through the owner of the upstream", "[node]")
 {
-    Pair it;
+    NodePair it;
     const auto answer = it.ask("GET", "/berths/7", { "Request-Tag: t1" });
     CHECK(answer->status == 200);
     CHECK(answer->body == "t1");
@@ -43,7 +43,7 @@
     CHECK(it.upstream.runs == 1);
 }
 
-TEST_CASE("a node without a proven configuration says not ready, and that nothing ran", "[node]")
+TEST_CASE("a node without a proven configuration answers not ready and not run", "[node]")
 {
     TestMesh mesh;
     TestNode& node = mesh.addNode("a", "z1");
@@ -55,17 +55,17 @@
 
 TEST_CASE("an unknown route is refused with its code", "[node]")
 {
-    Pair it;
+    NodePair it;
     const auto answer = it.ask("GET", "/nowhere");
     CHECK(answer->status == 404);
     CHECK(answer->headers["appletally-result"] == "401");
 }
 
-TEST_CASE("answers that are crossed at the upstream reach the callers that asked for them", "[node]")
+TEST_CASE("answers sent out of order by the upstream reach the right callers", "[node]")
 {
-    // Two agents ask at once, and the upstream answers the later request first. An agent who got the other's answer
-    // would read another berth's status as its own.
-    Pair it;
+    // Two requests are active, and the upstream answers the later one first. If answers were mixed up, a caller would read
+    // the status of another berth as its own.
+    NodePair it;
     it.upstream.hold = true;
     const auto first = it.mesh.ask(it.b, "GET", "/berths/1", { "Request-Tag: one" });
     REQUIRE(it.mesh.run([&] { return it.upstream.held.size() == 1; }));
@@ -78,34 +78,34 @@
     CHECK(second->body == "two");
 }
 
-TEST_CASE("an archive larger than any buffer passes two nodes whole", "[node]")
+TEST_CASE("an answer larger than any buffer passes two nodes completely", "[node]")
 {
-    Pair it;
+    NodePair it;
     it.upstream.bodyBytes = 8 * 1024 * 1024;
     const auto answer = it.ask("GET", "/archive/2026-11");
     CHECK(answer->status == 200);
     CHECK(answer->body.size() == it.upstream.bodyBytes);
 }
 
-TEST_CASE("an answer that is cut never passes as whole", "[node]")
+TEST_CASE("a truncated answer is never passed on as complete", "[node]")
 {
-    // The upstream dies in the middle of its answer. A short one must not reach the caller at all; of a large one the
-    // caller has seen the beginning, and must see that it broke. A clerk would otherwise bill from half an archive.
-    Pair it;
-    it.upstream.cuts = true;
+    // The upstream fails while it sends its answer. A small one must not reach the caller at all; a large one is streamed, so
+    // the caller's connection must be reset. Otherwise the caller would process a partial archive as complete.
+    NodePair it;
+    it.upstream.truncatesAnswers = true;
     const auto small = it.ask("GET", "/berths/7", { "Request-Tag: t" });
     CHECK(small->status >= 500);
     CHECK(small->headers["appletally-result"] != "0");
     it.upstream.bodyBytes = 2 * 1024 * 1024;
     const auto large = it.ask("GET", "/archive/2026-11");
-    CHECK(large->status == 0); // no whole answer: the connection was reset
+    CHECK(large->status == 0); // no complete answer: the connection was reset
 }
 
-TEST_CASE("a draining upstream gets no new work, at once", "[node]")
+TEST_CASE("a draining upstream immediately gets no new calls", "[node]")
 {
-    // The upstream says that it leaves, and the endpoint record that says so is still on its way. A request sent there
-    // now would be cut when the upstream stops.
-    Pair it;
+    // The upstream reports that it drains, but the endpoint record has not arrived yet. A request sent there now would be
+    // aborted when the upstream stops.
+    NodePair it;
     REQUIRE(it.ask("GET", "/berths/7")->status == 200);
     it.mesh.announce(it.a, it.upstream, "draining");
     const auto answer = it.ask("GET", "/berths/7");
@@ -114,10 +114,11 @@
     CHECK(it.upstream.runs == 1);
 }
 
-TEST_CASE("an upstream that stopped listening gives a refusal that is true", "[node]")
+TEST_CASE("a refused connection to the upstream is reported as not run", "[node]")
 {
-    // The upstream's process died and its announcement has not run out yet; its port refuses. Nothing can have run.
-    Pair it;
+    // The upstream process has died, its announcement has not expired yet, and its port refuses connections. Nothing can
+    // have run.
+    NodePair it;
     it.mesh.announce(it.a, it.upstream, "ready", 10, "1.0", "plug-control");
     it.mesh.shareEndpoints();
     evhttp_free(it.upstream.http);
@@ -127,10 +128,10 @@
     CHECK(answer->headers["appletally-not-run"] == "1");
 }
 
-TEST_CASE("the owner's node dies while a read runs: the caller learns that the outcome is unknown or gets another upstream", "[node]")
+TEST_CASE("the owner dies while a read runs: the caller gets outcome unknown or another upstream's answer", "[node]")
 {
-    // A host loses power in the middle of a request. With one upstream there is nobody else to ask.
-    Pair it;
+    // A host loses power during a request. With a single upstream there is no retry elsewhere.
+    NodePair it;
     it.upstream.hold = true;
     const auto answer = it.mesh.ask(it.b, "GET", "/berths/7", { "Request-Tag: t" });
     REQUIRE(it.mesh.run([&] { return it.upstream.held.size() == 1; }));
@@ -140,10 +141,10 @@
     CHECK(answer->headers["appletally-result"] != "0");
 }
 
-TEST_CASE("a node that is asked to stop finishes what runs and cuts nothing", "[node]")
+TEST_CASE("a stopping node finishes active requests", "[node]")
 {
-    // A host is rebooted for an update while a slow read runs. A cut here would be an outage that somebody planned.
-    Pair it;
+    // A host is rebooted for an update while a slow read runs. An aborted read would make every planned reboot an outage.
+    NodePair it;
     it.upstream.hold = true;
     const auto answer = it.mesh.ask(it.b, "GET", "/berths/7", { "Request-Tag: t" });
     REQUIRE(it.mesh.run([&] { return it.upstream.held.size() == 1; }));
@@ -152,7 +153,7 @@
     const auto late = it.mesh.ask(it.b, "GET", "/berths/8");
     REQUIRE(it.mesh.run([&] { return late->done; }));
     CHECK(late->headers["appletally-not-run"] == "1");
-    // Past its draining the node takes no connection any more; what runs still keeps it.
+    // After draining the node accepts no connections, but stays up for the active request.
     std::shared_ptr<TestAnswer> next;
     do {
         next = it.mesh.ask(it.a, "GET", "/berths/9");
@@ -165,10 +166,10 @@
     CHECK(answer->body == "t");
 }
 
-TEST_CASE("a stop that cannot wait any longer gives those who wait a final answer", "[node]")
+TEST_CASE("at the graceful shutdown timeout, waiting callers get a final answer", "[node]")
 {
-    // A host is rebooted while its node's callers wait for answers that are stuck on a crowded line. The platform kills the
-    // node after some seconds; a crew whose connection just ends does not know what became of its request.
+    // A host is rebooted while callers of its node wait for answers delayed on a congested link, and the platform kills the node
+    // after some seconds. A caller whose connection just closes does not learn that the outcome is unknown.
     TestMesh mesh;
     TestUpstream upstream(mesh.loop());
     TestNode& owner = mesh.addNode("a", "z1");
@@ -187,12 +188,12 @@
     CHECK(answer->headers["appletally-not-run"] != "1");
 }
 
-TEST_CASE("a host whose address has another service's upstream now turns nobody away", "[node]")
+TEST_CASE("no request is rejected because a host's address now belongs to another service's host", "[node]")
 {
-    // A host is lost with its upstream, and a new host of another service gets its address before the old record has run
-    // out. Its node says truly that it has no such upstream; members are refused for seconds while others of their service
-    // idle, and the new node's idle slots draw more of them.
-    Pair it;
+    // A host is lost, and a new host of another service gets its address before the old record has expired. Its node correctly
+    // answers that it has no such upstream. Callers were refused for seconds while other upstreams of the service were idle,
+    // and the idle slots of the new node attracted more requests.
+    NodePair it;
     TestUpstream other(it.mesh.loop());
     TestNode& c = it.mesh.addNode("c", "z2");
     it.mesh.announce(c, other, "ready", 10, "1.0", "plug-control");
@@ -201,7 +202,7 @@
     old.host = { "lost" };
     old.service = { "berth-data" };
     old.version = { "1.0" };
-    old.zone = { "z2" }; // the callers' own
+    old.zone = { "z2" }; // the callers' own zone
     old.inner = c.addresses.inner;
     old.slots = 10;
     old.incarnation = { 1 };
@@ -212,15 +213,14 @@
     it.b.fromControl.send(inner::DumpAsked { 1 });
     REQUIRE(it.mesh.run([&] { return std::holds_alternative<inner::DumpAnswered>(it.b.toControl.back()); }));
     const auto dump = base::Json::parse(std::get<inner::DumpAnswered>(it.b.toControl.back()).json);
-    CHECK(dump["ingress"]["counts"]["retried"] <= 2); // it is left alone once it has said so
+    CHECK(dump["ingress"]["counts"]["retried"] <= 2); // the host is not selected again after its refusal
 }
 
-TEST_CASE("evidence goes to control only while a rollout decides by it, and then with its history", "[node][rollout]")
+TEST_CASE("evidence is sent to control only during a rollout, and includes earlier answers", "[node][rollout]")
 {
-    // Nobody notices a rollout in a service that has none. Yet each node went on telling how every answer had gone, control
-    // passed it on between all of its processes, and operators paid for links between zones that carried little else. A
-    // rollout that begins later still compares with all that the old version did before.
-    Pair it;
+    // Nodes reported evidence for all services, also without a rollout, and control replicated it between its processes: most
+    // of the traffic between zones served no decision. A rollout that starts later still needs the old version's history.
+    NodePair it;
     const auto reported = [&] {
         uint64_t answers = 0;
         for (const inner::FromNode& message : it.a.toControl) {
@@ -241,21 +241,21 @@
     CHECK(it.mesh.run([&] { return reported() == 3; }));
 }
 
-TEST_CASE("a request to a host without power is tried elsewhere at once", "[node]")
+TEST_CASE("a request to an unresponsive host is quickly retried elsewhere", "[node]")
 {
-    // A host loses power; its record runs out after seconds. A node that has no link to it yet sends a request there: nothing
-    // comes back, not even a refusal, and the caller waited for a second or until its time was over beside an idle upstream.
-    Pair it;
+    // A host loses power, and its record expires only after seconds. A node without a link to it sends a request there and
+    // gets no response, not even a refusal. The caller waited for a second or until its deadline while an upstream was idle.
+    NodePair it;
     DeafAddress deaf;
-    config::Endpoint dark;
+    config::Endpoint unresponsive;
     for (const inner::FromNode& message : it.a.toControl) {
         if (const auto* announced = std::get_if<inner::EndpointAnnounced>(&message))
-            dark = announced->endpoint;
+            unresponsive = announced->endpoint;
     }
-    dark.host = { "dark" };
-    dark.zone = { "z2" }; // where the caller is
-    dark.inner = deaf.address;
-    it.b.fromControl.send(inner::EndpointsChanged { { dark } });
+    unresponsive.host = { "dark" };
+    unresponsive.zone = { "z2" }; // the callers' own zone
+    unresponsive.inner = deaf.address;
+    it.b.fromControl.send(inner::EndpointsChanged { { unresponsive } });
     const base::Time since = base::steadyNow();
     int others = 0;
     for (int n = 0; n < 6; ++n)
@@ -264,25 +264,25 @@
     CHECK(base::steadyNow() - since < base::Duration { 900 });
 }
 
-TEST_CASE("requests that come while the configuration is on its way are served with it", "[node]")
+TEST_CASE("requests that arrive before the configuration are served once it is applied", "[node]")
 {
-    // All processes start again. A node listens before control has proved which version it may have, and control answers already.
-    // Its callers were refused, came back half a second later with most of their time gone, and all at once.
+    // All processes restart, and a node listens before control has proved which version it may apply, though control is
+    // reachable. Its callers were refused and retried half a second later, all at once and with little time left.
     TestMesh mesh;
     TestNode& a = mesh.addNode("a", "z1");
     TestUpstream upstream { mesh.loop() };
     mesh.announce(a, upstream, "ready");
     const auto ask = [&](const char* left) { return mesh.ask(a, "GET", "/berths/7", { std::string("Appletally-Timeout-Ms: ") + left }); };
 
-    const auto alone = ask("4000"); // no source of configuration answers: nobody knows whether one ever will
-    REQUIRE(mesh.run([&] { return alone->done; }));
-    CHECK(alone->status == 503);
+    const auto withoutSource = ask("4000"); // no source of configuration is reachable, so the request must not wait
+    REQUIRE(mesh.run([&] { return withoutSource->done; }));
+    CHECK(withoutSource->status == 503);
 
     a.fromControl.send(inner::ControlReachable { true });
     event_base_loop(mesh.loop(), EVLOOP_NONBLOCK);
     const auto early = ask("4000");
     const auto urgent = ask("400");
-    REQUIRE(mesh.run([&] { return urgent->done; })); // an eighth of its time is over
+    REQUIRE(mesh.run([&] { return urgent->done; })); // an eighth of its timeout has passed
     CHECK(urgent->status == 503);
     CHECK(urgent->headers["appletally-not-run"] == "1");
     CHECK_FALSE(early->done);
