--- a/tests/process_fixture.cpp
+++ b/tests/process_fixture.cpp
@@ -1,4 +1,4 @@
-// Starting, watching and ending real processes.
+// Starts, observes and ends real processes.
 #include "process_fixture.h"
 
 #include <algorithm>
@@ -95,8 +95,8 @@
 
 std::string Program::waitLine(const std::vector<std::string>& parts)
 {
-    const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(patienceSeconds);
-    const auto holdsAll = [&](const std::string& line) {
+    const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(waitTimeoutSeconds);
+    const auto containsAll = [&](const std::string& line) {
         return std::all_of(parts.begin(), parts.end(), [&](const std::string& it) { return line.find(it) != std::string::npos; });
     };
     for (bool open = true;;) {
@@ -104,13 +104,13 @@
             for (size_t newline = it->text.find('\n', it->seen); newline != std::string::npos; newline = it->text.find('\n', it->seen)) {
                 std::string line = it->text.substr(it->seen, newline - it->seen);
                 it->seen = newline + 1;
-                if (holdsAll(line))
+                if (containsAll(line))
                     return line;
             }
         }
         if (!open || std::chrono::steady_clock::now() > end)
-            FAIL("no line with \"" << parts.front() << "\" in:\n"
-                                   << m_out.text << m_err.text);
+            FAIL("no line contains \"" << parts.front() << "\" in:\n"
+                                       << m_out.text << m_err.text);
         open = readMore(100);
     }
 }
@@ -123,10 +123,10 @@
 
 Finished Program::finish()
 {
-    const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(patienceSeconds);
+    const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(waitTimeoutSeconds);
     while (readMore(100)) {
         if (std::chrono::steady_clock::now() > end)
-            FAIL("did not end:\n"
+            FAIL("the program did not exit:\n"
                 << m_out.text << m_err.text);
     }
     int status = 0;
@@ -153,7 +153,7 @@
     : m_fd(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
 {
     const int one = 1;
-    setsockopt(m_fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one); // lets our program bind it as well
+    setsockopt(m_fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one); // lets the started program bind the port too
     sockaddr_in name {};
     name.sin_family = AF_INET;
     name.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
--- a/tests/process_fixture.h
+++ b/tests/process_fixture.h
@@ -1,4 +1,4 @@
-// Real processes for tests: started by posix_spawn, watched by the lines they print, ended with the test.
+// Runs real processes in tests: started with posix_spawn, observed through their output, ended with the test.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,37 +8,37 @@
 
 namespace process_test {
 
-// What every wait may take at most. Nothing waits for it to pass: each wait ends with the line or the end it waits for.
-constexpr int patienceSeconds = 30;
+// Timeout of every wait. No test waits for it to expire: each wait ends with the expected line or exit.
+constexpr int waitTimeoutSeconds = 30;
 
 struct Finished {
-    int code = -1; // exit code; 128 + signal where one ended it
+    int code = -1; // exit code, or 128 + signal number
     std::string out;
     std::string err;
 };
 
-// One started program. Killed by its own id if it still runs when the test ends.
+// A started program. Killed by its process id if it is still running when the test ends.
 class Program {
 public:
     Program() = default;
-    Program(const std::string& name, const std::vector<std::string>& arguments); // of BINARY_FOLDER
+    Program(const std::string& name, const std::vector<std::string>& arguments); // `name` is in BINARY_FOLDER
     ~Program();
     Program(Program&&) noexcept;
     Program& operator=(Program&&) noexcept;
 
-    // Reads on until a line with all of `parts` comes on either output; looks at each line once. Fails the test after
-    // patienceSeconds, and shows what was printed.
+    // Reads until a line on either output contains all of `parts`; each line is examined once. Fails the test after
+    // waitTimeoutSeconds, with the output in the message.
     std::string waitLine(const std::vector<std::string>& parts);
     void signal(int number) const;
-    Finished finish(); // waits for the end
+    Finished finish(); // waits for the process to exit
 
 private:
     struct Output {
         int fd = -1;
         std::string text;
-        size_t seen = 0; // lines before it were looked at
+        size_t seen = 0; // offset of the first line not yet examined
     };
-    bool readMore(int milliseconds); // false: both ends are closed
+    bool readMore(int milliseconds); // false: both pipes are closed
     void stop();
 
     pid_t m_pid = 0;
@@ -48,7 +48,7 @@
 
 Finished run(const std::string& name, const std::vector<std::string>& arguments);
 
-// A folder that goes with the test.
+// A temporary folder, removed when the test ends.
 class Folder {
 public:
     Folder();
@@ -61,7 +61,7 @@
     std::string m_path;
 };
 
-// A free port of 127.0.0.1, kept from others while the object lives; a program of ours may still listen on it.
+// A free port of 127.0.0.1, reserved while the object lives; a program started by the test can still listen on it.
 class Port {
 public:
     Port();
--- a/tests/shared_read_test.cpp
+++ b/tests/shared_read_test.cpp
@@ -1,4 +1,4 @@
-// Reads that share a run, reads that get a second copy, and what callers receive of both.
+// Reads that share a run, and reads that are hedged with a second copy.
 #include "node_fixture.h"
 
 #include <catch2/catch.hpp>
@@ -7,12 +7,12 @@
 
 namespace {
 
-struct Refreshing {
+struct SharedReadFixture {
     TestMesh mesh;
     TestUpstream upstream { mesh.loop() };
     TestNode& node;
 
-    Refreshing()
+    SharedReadFixture()
         : node(mesh.addNode("a", "z1"))
     {
         mesh.announce(node, upstream, "ready");
@@ -35,11 +35,11 @@
 
 } // namespace
 
-TEST_CASE("a harbour master who refreshes has one run under way, and each page load its whole answer", "[hot-caller]")
+TEST_CASE("identical concurrent reads of a caller share one run, and each gets the complete answer", "[hot-caller]")
 {
-    // A vessel warps in and the harbour master presses refresh every second while the answer takes three. Each press
-    // would take one of ten slots from agents who asked once.
-    Refreshing it;
+    // A user reloads a page every second while the answer takes three. Without sharing, each reload would occupy one of ten
+    // slots at the expense of other callers.
+    SharedReadFixture it;
     std::vector<std::shared_ptr<TestAnswer>> answers;
     answers.reserve(8);
     for (int n = 0; n < 8; ++n)
@@ -56,7 +56,7 @@
 
 TEST_CASE("reads that differ in a header do not share a run", "[hot-caller]")
 {
-    Refreshing it;
+    SharedReadFixture it;
     const auto one = it.ask("master", "one");
     const auto two = it.ask("master", "two");
     REQUIRE(it.mesh.run([&] { return it.upstream.held.size() == 2; }));
@@ -66,11 +66,11 @@
     CHECK(two->body == "two");
 }
 
-TEST_CASE("a caller who leaves does not take the shared run from those who wait for it", "[hot-caller]")
+TEST_CASE("a shared run continues when the caller that started it disconnects", "[hot-caller]")
 {
-    // The first of three identical page loads is cancelled by the browser. Cancelling its run would leave the two others
-    // without an answer until their deadline.
-    Refreshing it;
+    // The first of several identical reads is cancelled by its client. Cancelling the run would leave the others without an
+    // answer until their deadline.
+    SharedReadFixture it;
     bufferevent* raw = bufferevent_socket_new(it.mesh.loop(), -1, BEV_OPT_CLOSE_ON_FREE);
     bufferevent_enable(raw, EV_WRITE);
     sockaddr_in to {};
@@ -94,8 +94,8 @@
 
 TEST_CASE("a read whose upstream pauses is answered by a second copy, and the first frees its slot", "[slow-upstream]")
 {
-    // One upstream's runtime stops for seconds now and then, with its connections open. Without a copy every read that
-    // meets the pause waits it out.
+    // The runtime of one upstream occasionally pauses for seconds with its connections open. Without a hedge, every read sent
+    // to it waits for the end of the pause.
     TestMesh mesh;
     TestUpstream paused(mesh.loop());
     TestUpstream quick(mesh.loop());
@@ -110,13 +110,13 @@
         REQUIRE(mesh.run([&] { return answer->done; }));
         return answer->status;
     };
-    // Answers that take their time, so that a busy test machine's jitter is small against them and spends no copies.
-    // By the estimate 3 in 100 are late and get a copy all the same, and 5 in 100 earn one: after so many there are copies left.
+    // Answers take 5 ms, so that the jitter of a busy test machine is small in comparison and triggers no hedges. By the
+    // estimate, 3 in 100 reads are late and hedged anyway, and the budget grows by 5 per 100, so hedges remain after 200 reads.
     paused.delay = quick.delay = base::Duration { 5 };
     for (int n = 0; n < 200; ++n)
         REQUIRE(ask(n) == 200);
     paused.hold = true;
-    for (int n = 0; n < 400 && paused.held.empty(); ++n) // an upstream that chance made look slow is seldom asked
+    for (int n = 0; n < 400 && paused.held.empty(); ++n) // an upstream that looked slow by chance is rarely selected
         CHECK(ask(n) == 200);
     CHECK(paused.held.size() == 1);
     const auto running = [&] {
