--- a/src/appletally/node/claim_codec.h
+++ b/src/appletally/node/claim_codec.h
@@ -1,4 +1,4 @@
-// Encodes and decodes claim messages between nodes with Cap'n Proto.
+// Encodes and decodes claim messages between nodes with Cap'n Proto. Conversion only; the protocol is implemented in policy/.
 #pragma once
 
 #include "appletally/base/result.h"
--- a/src/appletally/node/peers.cpp
+++ b/src/appletally/node/peers.cpp
@@ -18,7 +18,7 @@
 constexpr Duration suspicionCheckInterval { 100 };
 constexpr Duration idleLinkCheckInterval { 1000 };
 constexpr Duration idleLinkTimeout { 60000 }; // an unused link still costs heartbeats and memory
-constexpr size_t maxPendingClaims = 10000; // per link; only exceeded if the keeper does not answer
+constexpr size_t maxPendingClaims = 10000; // per link; exceeded only in case of a fault
 
 struct Peers::Link {
     base::HostId host;
--- a/src/appletally/node/wire.h
+++ b/src/appletally/node/wire.h
@@ -1,4 +1,4 @@
-// Converts between link messages and the structs of call.h.
+// Converts between link messages and the structs of call.h. Conversion only, without decisions.
 #pragma once
 
 #include "appletally/inner/link.capnp.h"
