--- a/src/appletally/config/applied.cpp
+++ b/src/appletally/config/applied.cpp
@@ -1,4 +1,4 @@
-// Applying whole or not at all, and never back.
+// Applies snapshots and deltas as a whole, and never a lower version than before.
 #include "appletally/config/applied.h"
 
 #include "appletally/config/codec.h"
@@ -12,48 +12,48 @@
 
 namespace {
 
-    bool putInForce(AppliedConfig& applied)
+    bool applyHeld(AppliedConfig& it)
     {
-        if (!applied.minVersion || !applied.held || applied.held->version < *applied.minVersion || applied.applied == applied.held)
+        if (!it.minVersion || !it.held || it.held->version < *it.minVersion || it.applied == it.held)
             return false;
-        applied.applied = applied.held;
+        it.applied = it.held;
         return true;
     }
 
-    base::Result<bool> hold(AppliedConfig& applied, Snapshot snapshot)
+    base::Result<bool> hold(AppliedConfig& it, Snapshot snapshot)
     {
         if (auto checked = validate(snapshot); !checked) {
-            applied.refused = std::max(applied.refused, snapshot.version);
-            applied.refusal = checked.error().text;
+            it.refused = std::max(it.refused, snapshot.version);
+            it.refusal = checked.error().text;
             return checked.error();
         }
-        snapshot.sum = { contentHash(snapshot), true }; // the next delta builds on it
-        applied.held = std::make_shared<const Snapshot>(std::move(snapshot));
-        return putInForce(applied);
+        snapshot.sum = { contentHash(snapshot), true }; // base for the next delta
+        it.held = std::make_shared<const Snapshot>(std::move(snapshot));
+        return applyHeld(it);
     }
 
 } // namespace
 
-base::Result<bool> applySnapshot(AppliedConfig& applied, Snapshot snapshot)
+base::Result<bool> applySnapshot(AppliedConfig& it, Snapshot snapshot)
 {
-    if (snapshot.version <= heldVersion(applied))
-        return base::fail(Code::VersionTooOld, "snapshot " + std::to_string(snapshot.version.value) + " where " + std::to_string(heldVersion(applied).value) + " is held");
-    return hold(applied, std::move(snapshot));
+    if (snapshot.version <= heldVersion(it))
+        return base::fail(Code::VersionTooOld, "snapshot version " + std::to_string(snapshot.version.value) + " rejected: version " + std::to_string(heldVersion(it).value) + " is already held");
+    return hold(it, std::move(snapshot));
 }
 
-base::Result<bool> applyDelta(AppliedConfig& applied, const Delta& delta)
+base::Result<bool> applyDelta(AppliedConfig& it, const Delta& delta)
 {
     static const Snapshot nothing;
-    auto patched = patch(applied.held ? *applied.held : nothing, delta);
+    auto patched = patch(it.held ? *it.held : nothing, delta);
     if (!patched)
         return patched.error();
-    return hold(applied, std::move(patched.value()));
+    return hold(it, std::move(patched.value()));
 }
 
-bool raiseMinVersion(AppliedConfig& applied, base::ConfigVersion version)
+bool raiseMinVersion(AppliedConfig& it, base::ConfigVersion version)
 {
-    applied.minVersion = std::max(applied.minVersion.value_or(version), version);
-    return putInForce(applied);
+    it.minVersion = std::max(it.minVersion.value_or(version), version);
+    return applyHeld(it);
 }
 
 base::ConfigVersion heldVersion(const AppliedConfig& it) { return it.held ? it.held->version : base::ConfigVersion {}; }
--- a/src/appletally/config/applied.h
+++ b/src/appletally/config/applied.h
@@ -1,9 +1,9 @@
-// What one node holds and has in force. The one place that decides whether a snapshot may take effect.
+// The configuration that a node holds and applies. The only place that decides whether a snapshot may take effect.
 //
-// Never back: a running node refuses lower versions. A restarted one has forgotten its version, and its whole rack may
-// have; a source that lags would lead it back to limits, shares and routes that were replaced, which its callers would
-// see as a withdrawn upstream version taking traffic again. So until a majority of the voters has said what is
-// recorded, nothing is in force ("not ready"), and then nothing below what they said.
+// Versions never go back: a running node rejects lower versions. A restarted node, or a whole restarted rack, has lost
+// its version, and a source that lags could return it to replaced limits, shares and routes; its callers would see a
+// rolled-back upstream version take traffic again. So a node applies nothing ("not ready") until a majority of the
+// voters has reported the recorded version, and then nothing below that version.
 #pragma once
 
 #include "appletally/base/result.h"
@@ -17,22 +17,22 @@
 namespace appletally::config {
 
 struct AppliedConfig {
-    std::shared_ptr<const Snapshot> held; // newest that arrived whole and passed validate(); deltas build on it
-    std::shared_ptr<const Snapshot> applied; // null: not ready. Else the same as `held`
-    std::optional<base::ConfigVersion> minVersion; // lowest version that may be in force; empty: not proven yet
-    base::ConfigVersion refused; // highest version that failed its check; 0: none
-    std::string refusal; // why it failed, for the dump
+    std::shared_ptr<const Snapshot> held; // newest complete snapshot that passed validate(); base of the next delta
+    std::shared_ptr<const Snapshot> applied; // null: not ready; otherwise the same as `held`
+    std::optional<base::ConfigVersion> minVersion; // lowest version that may be applied; empty: not proven yet
+    base::ConfigVersion refused; // highest version that failed validation; 0: none
+    std::string refusal; // validation error of `refused`, for the dump
 };
 
-// Each returns whether something new is in force now. On an error nothing has changed but `refused`:
-//   VersionTooOld    not above what is held: doubled, crossed, or from a source that lags
-//   DeltaDoesNotFit  ask for a snapshot, or for a delta from heldVersion()
-//   others           from validate(): refused whole; what is in force stays
+// Each returns whether a new version is applied now. On an error only `refused` and `refusal` may have changed:
+//   VersionTooOld    not above the held version: duplicated, reordered, or from a source that lags
+//   DeltaDoesNotFit  request a snapshot, or a delta from heldVersion()
+//   others           from validate(): rejected as a whole; the applied version stays
 base::Result<bool> applySnapshot(AppliedConfig&, Snapshot);
 base::Result<bool> applyDelta(AppliedConfig&, const Delta&);
 
-// From the words of a majority of voters (consensus/released.h), asked for after this process began. The floor only
-// rises: a second proof that comes late changes nothing.
+// `version` is proven by reports of a majority of voters (consensus/released.h) that were requested after this process
+// started. The minimum version only rises: a second, late proof changes nothing.
 bool raiseMinVersion(AppliedConfig&, base::ConfigVersion);
 
 base::ConfigVersion heldVersion(const AppliedConfig&);
--- a/src/appletally/config/codec.cpp
+++ b/src/appletally/config/codec.cpp
@@ -18,7 +18,7 @@
 namespace {
 
     const std::vector<std::string> priorities = { "command", "lookup", "read", "archive" };
-    const std::vector<std::string> weighings = { "speed-and-take-back", "completion-and-bytes" };
+    const std::vector<std::string> goals = { "speed-and-take-back", "completion-and-bytes" };
     constexpr int64_t maxInt = INT32_MAX;
 
     base::PerMille readPerMille(JsonReader& it, const std::string& key) { return { static_cast<int32_t>(it.integer(key, 0, 1000)) }; }
@@ -80,7 +80,7 @@
         return base::textOf(buf);
     }
 
-    // Each kind has a seed of its own, or a service and a route of the same bytes would count as the same.
+    // A different seed for each kind, so that a service and a route with equal bytes have different hashes.
     enum HashSeed : uint8_t { ServiceSeed = 1,
         RouteSeed,
         RolloutSeed,
@@ -109,9 +109,9 @@
         return out;
     }
 
-    // What the sum gains from `from` to `to`; both maps are walked, only what differs is hashed.
+    // The difference of the sums of `to` and `from`. Both maps are walked; only differing values are hashed.
     template <typename Key, typename Value>
-    uint64_t gain(const std::map<Key, Value>& from, const std::map<Key, Value>& to, HashSeed seed)
+    uint64_t sumDifference(const std::map<Key, Value>& from, const std::map<Key, Value>& to, HashSeed seed)
     {
         uint64_t out = 0;
         auto a = from.begin();
@@ -131,7 +131,7 @@
     }
 
     template <typename T>
-    uint64_t gainOfOne(const T& from, const T& to, HashSeed seed)
+    uint64_t sumDifferenceOfPart(const T& from, const T& to, HashSeed seed)
     {
         return from == to ? 0 : partHash(to, seed) - partHash(from, seed);
     }
@@ -192,7 +192,7 @@
     out.EndArray();
 }
 
-// What a questionnaire cannot say is left out where it is as by default.
+// Fields that a questionnaire cannot set are omitted if they have their default value.
 void write(JsonWriter& out, const Route& it)
 {
     static const Route defaults;
@@ -285,13 +285,13 @@
 
 Json toJson(const ControlTiming& it)
 {
-    return { { "weighing", weighings[static_cast<size_t>(it.goal)] }, { "batch", it.batch.ms }, { "report", it.report.ms } };
+    return { { "weighing", goals[static_cast<size_t>(it.goal)] }, { "batch", it.batch.ms }, { "report", it.report.ms } };
 }
 
 ControlTiming readControlTiming(JsonReader it)
 {
     ControlTiming out;
-    out.goal = static_cast<OptimizationGoal>(it.choice("weighing", weighings));
+    out.goal = static_cast<OptimizationGoal>(it.choice("weighing", goals));
     out.batch = readDuration(it, "batch");
     out.report = readDuration(it, "report");
     it.finish();
@@ -394,12 +394,12 @@
 ContentSum sumAfter(const Snapshot& from, const Snapshot& to)
 {
     uint64_t out = contentHash(from);
-    out += gain(from.services, to.services, ServiceSeed);
-    out += gain(from.routes, to.routes, RouteSeed);
-    out += gain(from.rollouts, to.rollouts, RolloutSeed);
-    out += gainOfOne(from.keepers, to.keepers, KeepersSeed);
-    out += gainOfOne(from.timing, to.timing, PaceSeed);
-    out += gainOfOne(from.callerLimits, to.callerLimits, LimitsSeed);
+    out += sumDifference(from.services, to.services, ServiceSeed);
+    out += sumDifference(from.routes, to.routes, RouteSeed);
+    out += sumDifference(from.rollouts, to.rollouts, RolloutSeed);
+    out += sumDifferenceOfPart(from.keepers, to.keepers, KeepersSeed);
+    out += sumDifferenceOfPart(from.timing, to.timing, PaceSeed);
+    out += sumDifferenceOfPart(from.callerLimits, to.callerLimits, LimitsSeed);
     return { out, true };
 }
 
@@ -407,7 +407,7 @@
 {
     std::string out(ZSTD_compressBound(bytes.size()), '\0');
     const size_t n = ZSTD_compress(out.data(), out.size(), bytes.data(), bytes.size(), ZSTD_CLEVEL_DEFAULT);
-    out.resize(n); // cannot fail: the room is the library's own bound
+    out.resize(n); // cannot fail: the buffer has the size of ZSTD_compressBound()
     return out;
 }
 
@@ -415,13 +415,13 @@
 {
     const unsigned long long size = ZSTD_getFrameContentSize(bytes.data(), bytes.size());
     if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN)
-        return base::fail(Code::MessageMalformed, "not a zstd frame with a stated size");
+        return base::fail(Code::MessageMalformed, "not a zstd frame with a known content size");
     if (size > maxBytes)
         return base::fail(Code::MessageTooLarge, std::to_string(size) + " bytes, " + std::to_string(maxBytes) + " at most");
     std::string out(size, '\0');
     const size_t n = ZSTD_decompress(out.data(), out.size(), bytes.data(), bytes.size());
     if (ZSTD_isError(n) || n != size)
-        return base::fail(Code::MessageMalformed, "a damaged zstd frame");
+        return base::fail(Code::MessageMalformed, "corrupted zstd frame");
     return out;
 }
 
--- a/src/appletally/config/codec.h
+++ b/src/appletally/config/codec.h
@@ -1,11 +1,11 @@
-// Bytes of what travels or is stored: snapshots, endpoints, evidence. JSON in one canonical form (sorted keys, no
-// spaces), so that equal values have equal bytes and one hash tells whether two processes hold the same.
+// Encoding of snapshots, endpoints and evidence for the wire and for storage: canonical JSON (sorted keys, no spaces),
+// so that equal values have equal bytes and one hash shows whether two processes hold the same content.
 //
-// JSON and not CBOR: snapshots are compressed anyway, and the library's CBOR reader recurses, so that some hundred
-// kilobytes of nested arrays from a broken peer would end the process by its stack. Endpoints and evidence, which are
-// sent often and alone, are arrays without keys.
+// JSON rather than CBOR: snapshots are compressed anyway, and the library's CBOR reader is recursive, so that a few
+// hundred kilobytes of nested arrays from a faulty peer would overflow the stack. Endpoints and evidence, which are
+// sent often and separately, are arrays without keys.
 //
-// Decoding refuses anything unknown, mistyped or out of range with MessageMalformed; nothing is guessed.
+// Decoding rejects unknown, mistyped and out-of-range values with MessageMalformed.
 #pragma once
 
 #include "appletally/base/json_reader.h"
@@ -21,7 +21,7 @@
 
 namespace appletally::config {
 
-// With keys, for dumps and as the parts of larger messages.
+// Objects with keys, for dumps and as parts of larger messages.
 base::Json toJson(const Service&);
 base::Json toJson(const Route&);
 base::Json toJson(const Rollout&);
@@ -32,11 +32,11 @@
 base::Json toJson(const Endpoint&);
 base::Json toJson(const Evidence&);
 
-// Writes the same bytes as encode(toJson(it)) without building a JSON tree.
+// Write the same bytes as encode(toJson(it)) without building a JSON tree.
 void write(base::JsonWriter&, const Service&);
 void write(base::JsonWriter&, const Route&);
 
-// The reading side; each reads and finishes the reader. Problems go to the reader.
+// Each consumes and finishes the reader. Errors are recorded in the reader.
 Service readService(base::JsonReader);
 Route readRoute(base::JsonReader);
 Rollout readRollout(base::JsonReader);
@@ -44,7 +44,7 @@
 ControlTiming readControlTiming(base::JsonReader);
 CallerLimits readCallerLimits(base::JsonReader);
 
-std::string encode(const base::Json&); // canonical; text that is not UTF-8 is replaced
+std::string encode(const base::Json&); // canonical; invalid UTF-8 is replaced
 std::string encode(const Snapshot&);
 std::string encode(const Endpoint&);
 std::string encode(const Evidence&);
@@ -58,16 +58,17 @@
 base::Result<std::vector<Endpoint>> decodeEndpoints(std::string_view bytes);
 base::Result<std::vector<Evidence>> decodeEvidenceList(std::string_view bytes);
 
-// XXH3, 64 bits: tells apart what is different by accident, not by malice.
+// 64-bit XXH3: detects accidental differences; not resistant to deliberate collisions.
 uint64_t contentHash(std::string_view bytes);
 
-// Of everything in the snapshot but its version, which a change of nothing else may raise.
+// Covers everything but the version, which may rise without any other change.
 uint64_t contentHash(const Snapshot&);
 
-// The sum of `to`, which differs from `from` in some resources only; whole where the sum of `from` is not known.
+// The sum of `to`, computed from the sum of `from` by hashing only the resources that differ. If the sum of `from` is
+// not known, all of `from` is hashed first.
 ContentSum sumAfter(const Snapshot& from, const Snapshot& to);
 
-// zstd. `mostBytes` bounds what comes out, so that a small message cannot fill the memory.
+// zstd. `maxBytes` limits the decompressed size, so that a small message cannot exhaust memory.
 constexpr size_t maxSnapshotBytes = 16 * 1024 * 1024;
 std::string compress(std::string_view bytes);
 base::Result<std::string> decompress(std::string_view bytes, size_t maxBytes = maxSnapshotBytes);
--- a/src/appletally/config/codec_records.cpp
+++ b/src/appletally/config/codec_records.cpp
@@ -1,4 +1,4 @@
-// Endpoints and evidence as arrays without keys: they are sent alone and often, where compression finds little.
+// Endpoints and evidence as arrays without keys: they are sent often and separately, where compression saves little.
 #include "appletally/config/codec.h"
 
 namespace appletally::config {
@@ -10,8 +10,8 @@
 
     const std::vector<std::string> states = { "starting", "ready", "draining", "gone" };
 
-    // Takes one value after the other; after the first that does not fit, `ok` is false and the rest are defaults.
-    struct Cursor {
+    // Reads an array value by value. After the first mismatch `ok` is false and all further values are defaults.
+    struct ArrayReader {
         const Json& array;
         size_t next = 0;
         bool ok = true;
@@ -27,14 +27,14 @@
             const Json* it = take(Json::value_t::string);
             return it ? it->get<std::string>() : "";
         }
-        uint64_t number(uint64_t most = UINT64_MAX)
+        uint64_t number(uint64_t maxValue = UINT64_MAX)
         {
             const Json* it = take(Json::value_t::number_unsigned);
             const uint64_t n = it ? it->get<uint64_t>() : 0;
-            ok = ok && n <= most;
+            ok = ok && n <= maxValue;
             return ok ? n : 0;
         }
-        bool whole() const { return ok && next == array.size(); }
+        bool atEnd() const { return ok && next == array.size(); }
     };
 
     Json toArray(const Endpoint& it)
@@ -45,25 +45,25 @@
 
     base::Result<Endpoint> endpointFrom(const Json& json)
     {
-        Cursor cursor { json };
+        ArrayReader reader { json };
         Endpoint out;
-        out.host.text = cursor.text();
-        out.service.text = cursor.text();
-        out.version.text = cursor.text();
-        out.zone.text = cursor.text();
-        out.region.text = cursor.text();
-        auto inner = base::parseAddress(cursor.text());
-        out.slots = static_cast<int>(cursor.number(INT32_MAX));
-        out.state = static_cast<EndpointState>(cursor.number(static_cast<uint64_t>(EndpointState::Gone)));
-        out.incarnation.value = cursor.number();
-        out.sequence.value = cursor.number();
-        if (!cursor.whole() || out.host.empty() || !inner)
-            return base::fail(Code::MessageMalformed, "an endpoint that cannot be read");
+        out.host.text = reader.text();
+        out.service.text = reader.text();
+        out.version.text = reader.text();
+        out.zone.text = reader.text();
+        out.region.text = reader.text();
+        auto inner = base::parseAddress(reader.text());
+        out.slots = static_cast<int>(reader.number(INT32_MAX));
+        out.state = static_cast<EndpointState>(reader.number(static_cast<uint64_t>(EndpointState::Gone)));
+        out.incarnation.value = reader.number();
+        out.sequence.value = reader.number();
+        if (!reader.atEnd() || out.host.empty() || !inner)
+            return base::fail(Code::MessageMalformed, "malformed endpoint");
         out.inner = inner.value();
         return out;
     }
 
-    // Most bins are empty, so only (bin, count) pairs are sent.
+    // Most bins are empty, so only the (bin, count) pairs of the others are sent.
     Json binsToArray(const std::array<uint32_t, latencyBins>& bins)
     {
         Json out = Json::array();
@@ -80,12 +80,12 @@
     {
         if (!json)
             return false;
-        Cursor cursor { *json };
-        while (cursor.ok && cursor.next < json->size()) {
-            const uint64_t n = cursor.number(latencyBins - 1);
-            bins[n] = static_cast<uint32_t>(cursor.number(UINT32_MAX));
+        ArrayReader reader { *json };
+        while (reader.ok && reader.next < json->size()) {
+            const uint64_t n = reader.number(latencyBins - 1);
+            bins[n] = static_cast<uint32_t>(reader.number(UINT32_MAX));
         }
-        return cursor.ok;
+        return reader.ok;
     }
 
     Json toArray(const Evidence& it)
@@ -96,22 +96,22 @@
 
     base::Result<Evidence> evidenceFrom(const Json& json)
     {
-        Cursor cursor { json };
+        ArrayReader reader { json };
         Evidence out;
-        out.host.text = cursor.text();
-        out.incarnation.value = cursor.number();
-        out.service.text = cursor.text();
-        out.route.text = cursor.text();
-        out.version.text = cursor.text();
-        out.answers = cursor.number();
-        out.failures = cursor.number();
-        const bool latencyRead = readBins(cursor.take(Json::value_t::array), out.latency);
-        const bool busyRead = readBins(cursor.take(Json::value_t::array), out.busyLatency);
-        out.coldAnswers = cursor.number();
-        out.coldFailures = cursor.number();
-        out.stoppedHere = cursor.number(1) == 1;
-        if (!cursor.whole() || !latencyRead || !busyRead || out.host.empty())
-            return base::fail(Code::MessageMalformed, "evidence that cannot be read");
+        out.host.text = reader.text();
+        out.incarnation.value = reader.number();
+        out.service.text = reader.text();
+        out.route.text = reader.text();
+        out.version.text = reader.text();
+        out.answers = reader.number();
+        out.failures = reader.number();
+        const bool latencyRead = readBins(reader.take(Json::value_t::array), out.latency);
+        const bool busyRead = readBins(reader.take(Json::value_t::array), out.busyLatency);
+        out.coldAnswers = reader.number();
+        out.coldFailures = reader.number();
+        out.stoppedHere = reader.number(1) == 1;
+        if (!reader.atEnd() || !latencyRead || !busyRead || out.host.empty())
+            return base::fail(Code::MessageMalformed, "malformed evidence");
         return out;
     }
 
@@ -131,7 +131,7 @@
         if (!json)
             return json.error();
         if (!json.value().is_array())
-            return base::fail(Code::MessageMalformed, "not a list");
+            return base::fail(Code::MessageMalformed, "not a JSON array");
         std::vector<T> out;
         for (const Json& entry : json.value()) {
             auto it = from(entry);
--- a/src/appletally/config/commands.cpp
+++ b/src/appletally/config/commands.cpp
@@ -16,7 +16,7 @@
     // Minimum size in bytes of a command that is compressed in the log; compression saves little on shorter ones.
     constexpr size_t minCompressedBytes = 1024;
 
-    // In the order of Command's alternatives.
+    // In the order of the alternatives of Command.
     const std::vector<std::string> kinds = { "submit", "start_rollout", "stop_rollout", "set_share", "take_back", "complete_rollout", "set_keepers", "finish_keepers", "submit_document", "move_traffic" };
 
     void putText(Json& json, const char* key, const std::string& text)
@@ -53,7 +53,7 @@
         return out;
     }
 
-    template <typename Ending> // TakeBack or CompleteRollout
+    template <typename Ending> // RollBackRollout or CompleteRollout
     Json endingFields(const Ending& it)
     {
         Json out = { { "rollout", it.rollout.text }, { "from", it.from.value }, { "at", it.at.ms } };
@@ -192,7 +192,7 @@
         auto plain = decompress(bytes);
         if (!plain)
             return plain.error();
-        return plain.value().starts_with('{') ? decodeCommand(plain.value()) : base::fail(base::Code::MessageMalformed, "not a command");
+        return plain.value().starts_with('{') ? decodeCommand(plain.value()) : base::fail(base::Code::MessageMalformed, "not an encoded command");
     }
     auto json = base::parseJson(bytes);
     if (!json)
--- a/src/appletally/config/commands.h
+++ b/src/appletally/config/commands.h
@@ -1,4 +1,4 @@
-// What may be written into the replicated log, and how it reads as bytes.
+// The commands of the replicated log and their encoding.
 #pragma once
 
 #include "appletally/base/result.h"
@@ -12,12 +12,12 @@
 
 namespace appletally::config {
 
-// Who asks, under which number, having seen what. Stands on every change that an operator makes.
+// Identifies an operator's request. Part of every change that an operator makes.
 struct OperatorRequest {
     base::OperatorId by;
     base::RequestNumber number; // from 1, counted by the operator; a resend repeats it
     base::ConfigVersion base; // the version that the operator had read
-    base::WallTime at; // of the control process that took it, for the history; no decision reads it but completeBy's
+    base::WallTime at; // clock of the control process that received it; for the history, and to check completeBy
 };
 
 struct SubmitAnswers {
@@ -28,20 +28,20 @@
 struct StartRollout {
     OperatorRequest request;
     base::ServiceName service;
-    base::UpstreamVersion from; // may be empty where the configuration says which version has the traffic
+    base::UpstreamVersion from; // may be empty if the configuration says which version has the traffic
     base::UpstreamVersion to;
     base::WallTime completeBy;
 };
 
-// The old version gets all traffic again.
+// Returns all traffic to the old version.
 struct StopRollout {
     OperatorRequest request;
     base::RolloutId rollout;
     std::string reason;
 };
 
-// From the leading control's rollout policy. Each names the share that it starts from: a deposed leader's late word
-// would else raise a share that its successor has just lowered.
+// From the rollout policy of the leading control process. `from` is the share that the decision is based on: without
+// it, a late command of a deposed leader would raise a share that its successor has just lowered.
 struct SetShare {
     base::RolloutId rollout;
     base::PerMille from;
@@ -50,8 +50,8 @@
     base::WallTime at;
 };
 
-// Not refused for another share than `from`: whatever the share is, the evidence against the version stands, and
-// taking back late costs callers more than taking back once too often.
+// Accepted whatever the current share is: the evidence against the version still holds, and a late rollback costs
+// callers more than an unnecessary one.
 struct RollBackRollout {
     base::RolloutId rollout;
     base::PerMille from;
@@ -66,9 +66,9 @@
     base::WallTime at;
 };
 
-// Begins a change of the keeper set: until it is finished, old and new keepers must both grant.
+// Starts a change of the keeper set: until it is finished, old and new keepers must both grant claims.
 struct SetKeepers {
-    base::KeeperSetNumber from; // the set that it replaces
+    base::KeeperSetNumber from; // the set to replace
     std::vector<Keeper> members;
     base::WallTime at;
 };
@@ -78,19 +78,19 @@
     base::WallTime at;
 };
 
-// A whole document, as its difference from the one in force at the process that took it. Refused where another one is in
-// force when it is applied.
+// A whole document, as its difference from the current document of the process that received it. Refused if another
+// document is current when the command is applied.
 struct SubmitDocument {
     DocumentId id;
     DocumentChange change;
     base::WallTime at;
 };
 
-// Moves a service's traffic to another version, for an operator that does not number its requests: asking for what is
-// under way, or has just ended, starts nothing new.
+// Moves a service's traffic to another version, for an operator that does not number its requests: a request for a
+// rollout that is running or has just ended starts no new one.
 struct MoveTraffic {
     base::ServiceName service;
-    base::UpstreamVersion from; // that has the traffic, as the process that took the request sees it
+    base::UpstreamVersion from; // has the traffic, according to the process that received the request
     base::UpstreamVersion to;
     base::Duration within; // from `at`
     base::WallTime at;
@@ -102,9 +102,9 @@
 std::string encodeForLog(const Command&); // compressed if large
 base::Result<Command> decodeCommand(std::string_view bytes); // plain or compressed; MessageMalformed, MessageTooLarge
 
-const OperatorRequest* requestOf(const Command&); // null: not an operator's
+const OperatorRequest* requestOf(const Command&); // null: not an operator's request
 
-// Of what the operator asked, without `at`, which differs between the replicas that took two resends.
+// Hash of the request without `at`, which differs between the control processes that receive its resends.
 uint64_t requestHash(const Command&);
 
 } // namespace appletally::config
--- a/src/appletally/config/delta.cpp
+++ b/src/appletally/config/delta.cpp
@@ -1,4 +1,4 @@
-// Differences by resource: taken, applied, sent and described.
+// Computes, applies, encodes and describes differences by resource.
 #include "appletally/config/delta.h"
 
 #include "appletally/config/codec.h"
@@ -17,7 +17,7 @@
 namespace {
 
     template <typename Key, typename Value>
-    void collect(const std::map<Key, Value>& from, const std::map<Key, Value>& to, std::vector<Value>& changed, std::vector<Key>& gone)
+    void collect(const std::map<Key, Value>& from, const std::map<Key, Value>& to, std::vector<Value>& changed, std::vector<Key>& removed)
     {
         for (const auto& [key, value] : to) {
             const auto it = from.find(key);
@@ -26,16 +26,16 @@
         }
         for (const auto& [key, value] : from) {
             if (!to.contains(key))
-                gone.push_back(key);
+                removed.push_back(key);
         }
     }
 
     template <typename Key, typename Value>
-    void put(std::map<Key, Value>& map, const std::vector<Value>& changed, const std::vector<Key>& gone, Key Value::*key)
+    void put(std::map<Key, Value>& map, const std::vector<Value>& changed, const std::vector<Key>& removed, Key Value::*key)
     {
         for (const Value& it : changed)
             map[it.*key] = it;
-        for (const Key& it : gone)
+        for (const Key& it : removed)
             map.erase(it);
     }
 
@@ -85,7 +85,7 @@
         return out;
     }
 
-    // Stores up to mostLines lines and counts the rest, so that large changes do not build a line for each resource.
+    // Stores up to maxLines lines and counts the rest, so that large changes do not build a line for each resource.
     struct LimitedLines {
         size_t maxLines = 0;
         size_t count = 0;
@@ -113,7 +113,7 @@
         const auto nameOf = [kind](const Key& key) { return std::string(kind) + " " + key.text + ": "; };
         LimitedLines removed { lines.maxLines, 0, {} };
         LimitedLines others { lines.maxLines, 0, {} };
-        auto old = from.begin(); // both are in the order of their keys: one walk instead of a look-up for each
+        auto old = from.begin(); // both are sorted by key: one pass instead of a lookup for each
         for (const auto& [key, value] : to) {
             for (; old != from.end() && old->first < key; ++old)
                 removed.add([&] { return nameOf(old->first) + "removed"; });
@@ -161,9 +161,9 @@
 base::Result<Snapshot> patch(const Snapshot& snapshot, const Delta& delta)
 {
     if (delta.to <= snapshot.version)
-        return base::fail(Code::VersionTooOld, "a delta to " + std::to_string(delta.to.value) + " where " + std::to_string(snapshot.version.value) + " is held");
+        return base::fail(Code::VersionTooOld, "delta to version " + std::to_string(delta.to.value) + " rejected: version " + std::to_string(snapshot.version.value) + " is already held");
     if (delta.from != snapshot.version)
-        return base::fail(Code::DeltaDoesNotFit, "a delta from " + std::to_string(delta.from.value) + " where " + std::to_string(snapshot.version.value) + " is held");
+        return base::fail(Code::DeltaDoesNotFit, "delta from version " + std::to_string(delta.from.value) + " does not match: version " + std::to_string(snapshot.version.value) + " is held");
     Snapshot out = snapshot;
     out.version = delta.to;
     put(out.services, delta.services, delta.removedServices, &Service::name);
@@ -174,7 +174,7 @@
     out.callerLimits = delta.callerLimits.value_or(out.callerLimits);
     out.sum = sumAfter(snapshot, out);
     if (out.sum.value != delta.resultHash)
-        return base::fail(Code::DeltaDoesNotFit, "the result of the delta to " + std::to_string(delta.to.value) + " has another hash");
+        return base::fail(Code::DeltaDoesNotFit, "the result of the delta to version " + std::to_string(delta.to.value) + " has a different hash");
     return out;
 }
 
@@ -189,7 +189,7 @@
     writeNamesUnlessEmpty(out, "gone_rollouts", it.removedRollouts);
     writeNamesUnlessEmpty(out, "gone_routes", it.removedRoutes);
     writeNamesUnlessEmpty(out, "gone_services", it.removedServices);
-    // The hash takes all 64 bits, more than the checked reader's whole numbers hold: two halves.
+    // Two halves, since JsonReader's integers cannot hold all 64 bits.
     writeMember(out, "hash_high", it.resultHash >> 32);
     writeMember(out, "hash_low", it.resultHash & UINT32_MAX);
     if (it.keepers)
--- a/src/appletally/config/delta.h
+++ b/src/appletally/config/delta.h
@@ -1,8 +1,8 @@
-// What differs between two snapshots, by resource, so that a change of one route costs a node some hundred bytes.
+// The difference between two snapshots by resource, so that a change of one route costs a node a few hundred bytes.
 //
-// A delta names the version that it starts from and the hash of what must come out. Applied to anything else it would
-// leave a mixture of two versions that nobody accepted, and callers of one route would meet rules of another version;
-// so a delta that does not fit changes nothing and the receiver asks for what it lacks.
+// A delta names its base version and the hash of its result. Applied to any other version it would produce a mixture
+// of two versions that was never accepted, and callers of one route would meet the rules of another version. So a
+// delta that does not match changes nothing, and the receiver requests a snapshot or another delta.
 #pragma once
 
 #include "appletally/base/result.h"
@@ -25,23 +25,23 @@
     std::vector<base::ServiceName> removedServices;
     std::vector<base::RouteName> removedRoutes;
     std::vector<base::RolloutId> removedRollouts;
-    std::optional<KeeperSet> keepers; // where they changed
+    std::optional<KeeperSet> keepers; // empty: unchanged
     std::optional<ControlTiming> timing;
     std::optional<CallerLimits> callerLimits;
 };
 
 Delta difference(const Snapshot& from, const Snapshot& to);
 
-// The snapshot at `delta.to`, not yet validated. Harmless to repeat:
-//   VersionTooOld    `snapshot` is at `delta.to` or above: doubled or overtaken
-//   DeltaDoesNotFit  it starts elsewhere, or the result has another hash
+// The snapshot at `delta.to`, not yet validated. Repeating a delta is harmless. Errors:
+//   VersionTooOld    `snapshot` is at `delta.to` or above: the delta is duplicated or late
+//   DeltaDoesNotFit  the delta has another base version, or its result has another hash
 base::Result<Snapshot> patch(const Snapshot& snapshot, const Delta& delta);
 
 std::string encode(const Delta&);
 base::Result<Delta> decodeDelta(std::string_view bytes); // MessageMalformed
 
-// For people: one line for each resource that differs, "service a: slots 10 -> 12", "route r: added". At most
-// `mostLines` lines, followed by a line with the number of omitted ones, if any.
+// Human-readable: one line for each resource that differs, "service a: slots 10 -> 12", "route r: added". At most
+// `maxLines` lines, followed by a line with the number of omitted ones, if any.
 std::vector<std::string> describeDifference(const Snapshot& from, const Snapshot& to, size_t maxLines = SIZE_MAX);
 
 } // namespace appletally::config
--- a/src/appletally/config/document.cpp
+++ b/src/appletally/config/document.cpp
@@ -1,4 +1,4 @@
-// Differences of documents, and their bytes in the log.
+// Differences between documents and their encoding in the log.
 #include "appletally/config/document.h"
 
 #include "appletally/config/codec.h"
@@ -18,9 +18,9 @@
 
     constexpr size_t maxTextBytes = 1024 * 1024; // of one resource
 
-    // Into `changed` what is new or has another text, into `gone` what is no longer there.
+    // Appends new parts and parts with a different text to `changed`, and the names of removed parts to `removed`.
     template <typename Name, typename Part>
-    void compare(const std::map<Name, std::string>& before, const std::map<Name, Part>& now, std::vector<Part>& changed, std::vector<Name>& gone)
+    void compare(const std::map<Name, std::string>& before, const std::map<Name, Part>& now, std::vector<Part>& changed, std::vector<Name>& removed)
     {
         for (const auto& [name, part] : now) {
             const auto it = before.find(name);
@@ -29,7 +29,7 @@
         }
         for (const auto& [name, text] : before) {
             if (!now.contains(name))
-                gone.push_back(name);
+                removed.push_back(name);
         }
     }
 
--- a/src/appletally/config/document.h
+++ b/src/appletally/config/document.h
@@ -1,9 +1,10 @@
-// A whole configuration handed in by an operator's own tool, beside the questionnaire: all its routes and services, under
-// a number of the operator's.
+// A whole configuration submitted by an operator's own tool, as an alternative to the questionnaire: all routes and
+// services, under a number that the operator assigns.
 //
-// The tool gets back what it sent, also the parts that mean nothing here, so each resource is kept twice: as text, and
-// as what it says. Texts tell what changed since the document before: a document of 300 routes that changes one costs
-// one route in the log, on the disks and on the wire, which is what keeps up with sixteen a second on a tenth of a core.
+// The tool must get back exactly what it sent, including parts that have no meaning here, so each resource is stored
+// both as text and parsed. Comparing texts shows what changed since the previous document: a document of 300 routes
+// that changes one costs one route in the log, on disk and on the wire, which sustains 16 documents per second on a
+// tenth of a core.
 #pragma once
 
 #include "appletally/base/json_reader.h"
@@ -18,17 +19,17 @@
 
 namespace appletally::config {
 
-using DocumentNumber = base::Number<struct DocumentTag>; // the operator's; rises, unevenly; 0: none yet
+using DocumentNumber = base::Number<struct DocumentTag>; // assigned by the operator; increasing, with gaps; 0: none yet
 
-// Which document was accepted, in words that a resend repeats exactly.
+// Identifies a document. A resend repeats it exactly.
 struct DocumentId {
     DocumentNumber number;
     DocumentNumber base; // the document that it was built on
-    std::string digest; // of the bytes as they were sent
+    std::string digest; // of the bytes as sent
     bool operator==(const DocumentId&) const = default;
 };
 
-// One resource: what it says, and as it was sent.
+// One resource, parsed and as sent.
 struct DocumentRoute {
     Route route;
     std::string text;
@@ -47,7 +48,7 @@
     std::map<std::string, std::string> others; // further parts of the document by name, as text
 };
 
-// The texts of the document in force.
+// The texts of the current document.
 struct DocumentTexts {
     std::map<base::RouteName, std::string> routes;
     std::map<base::ServiceName, std::string> services;
@@ -55,17 +56,17 @@
     bool operator==(const DocumentTexts&) const = default;
 };
 
-// What differs from the document before.
+// The difference from the previous document.
 struct DocumentChange {
     std::vector<DocumentRoute> routes; // new or changed
     std::vector<base::RouteName> removedRoutes;
     std::vector<DocumentService> services;
     std::vector<base::ServiceName> removedServices;
-    CallerLimits limits; // always
-    std::map<std::string, std::string> others; // always
+    CallerLimits limits; // complete, also where unchanged
+    std::map<std::string, std::string> others; // complete, also where unchanged
 };
 
-// Part of the agreed state.
+// Part of the replicated state.
 struct DocumentRecord {
     DocumentId current;
     DocumentTexts texts;
@@ -73,8 +74,8 @@
     bool operator==(const DocumentRecord&) const = default;
 };
 
-// Lost acknowledgements are resent for seconds, and a day has some thousand changes; a resend that is older than all of
-// these is refused as a conflict with what came since, which says nothing false about what is in force.
+// Requests with lost acknowledgements are resent for a few seconds, and a day has a few thousand changes. A resend that
+// is older than all of these is refused as a conflict with later documents, which is a correct answer.
 constexpr size_t maxDocumentIds = 4096;
 
 DocumentChange changeFrom(const DocumentTexts&, const Document&);
--- a/src/appletally/config/endpoint.h
+++ b/src/appletally/config/endpoint.h
@@ -1,7 +1,7 @@
-// One upstream as its own node announces it. Endpoints churn and stay out of the replicated log.
+// An upstream as announced by its own node. Endpoints change often and are not part of the replicated log.
 //
-// Each record has one writer, the node beside the upstream. The later (incarnation, sequence) wins, so that records
-// may cross, double or arrive late; one that is not renewed expires.
+// Each record has one writer, the node beside the upstream. The higher (incarnation, sequence) wins, so that records
+// may be reordered, duplicated or late. A record that is not renewed expires.
 #pragma once
 
 #include "appletally/base/clock.h"
@@ -10,9 +10,9 @@
 namespace appletally::config {
 
 enum class EndpointState : uint8_t {
-    Starting, // announced, not yet to be given work
+    Starting, // announced; takes no requests yet
     Ready,
-    Draining, // finishes what it has; gets no new work
+    Draining, // finishes its running requests; takes no new ones
     Gone,
 };
 
@@ -23,14 +23,14 @@
     base::ZoneName zone;
     base::RegionName region;
     base::Address inner; // where the host's node takes links from other nodes
-    int slots = 0; // announced ceiling of requests at once
+    int slots = 0; // announced maximum of concurrent requests
     EndpointState state = EndpointState::Starting;
     base::Incarnation incarnation; // start of the node that writes the record
-    base::Sequence sequence; // counts that node's records
+    base::Sequence sequence; // numbers that node's records
 };
 
-// How long a record lives without renewal, and how often it is renewed. Callers notice a dead node from its broken or
-// silent link long before; this only bounds how long a dead record is carried. Three renewals may be lost.
+// How long a record lives without renewal, and how often it is renewed. Up to three renewals may be lost. Other nodes
+// detect a dead node much earlier by its broken or silent link; this only limits how long its record is kept.
 constexpr base::Duration endpointLifetime { 8000 };
 constexpr base::Duration endpointRenewalInterval { 2000 };
 
--- a/src/appletally/config/endpoint_mirror.cpp
+++ b/src/appletally/config/endpoint_mirror.cpp
@@ -1,4 +1,4 @@
-// A node's copy of the endpoints: later records win, and silence of a new source is no proof.
+// A node's copy of the endpoints: later records win; a record that is missing from a new list is not removed at once.
 #include "appletally/config/endpoint_mirror.h"
 
 #include <algorithm>
@@ -10,19 +10,19 @@
 
 namespace {
 
-    std::pair<base::Incarnation, base::Sequence> age(const Endpoint& it) { return { it.incarnation, it.sequence }; }
+    std::pair<base::Incarnation, base::Sequence> revision(const Endpoint& it) { return { it.incarnation, it.sequence }; }
 
     bool isGone(const MirrorEntry& it) { return it.endpoint.state == EndpointState::Gone; }
 
-    base::Result<void> checkFits(const EndpointMirror& mirror, const EndpointsDelta& delta)
+    base::Result<void> checkPosition(const EndpointMirror& mirror, const EndpointsDelta& delta)
     {
-        // A list that is started anew goes back to the first change, so the start of the list is compared first.
-        const auto place = [](const EndpointCursor& it) { return std::pair(it.since, it.change); };
+        // A restarted list begins at the first change again, so the start of the list is compared first.
+        const auto position = [](const EndpointCursor& it) { return std::pair(it.since, it.change); };
         const bool sameRegistry = delta.to.registry == mirror.cursor.registry;
-        if (sameRegistry && place(delta.to) <= place(mirror.cursor))
-            return base::fail(Code::VersionTooOld, "endpoints were read up to " + std::to_string(mirror.cursor.change));
+        if (sameRegistry && position(delta.to) <= position(mirror.cursor))
+            return base::fail(Code::VersionTooOld, "endpoints already read up to change " + std::to_string(mirror.cursor.change));
         if (!delta.restartsList && !(delta.from == mirror.cursor))
-            return base::fail(Code::DeltaDoesNotFit, "endpoints from " + std::to_string(delta.from.change) + " where " + std::to_string(mirror.cursor.change) + " was read");
+            return base::fail(Code::DeltaDoesNotFit, "endpoints from change " + std::to_string(delta.from.change) + " do not match: change " + std::to_string(mirror.cursor.change) + " was read last");
         return base::success();
     }
 
@@ -34,36 +34,36 @@
         }
     }
 
-    // Whether it was news.
-    bool take(EndpointMirror& mirror, const Endpoint& endpoint, base::Time now)
+    // Returns whether the entry changed.
+    bool updateEntry(EndpointMirror& mirror, const Endpoint& endpoint, base::Time now)
     {
         auto [it, isNew] = mirror.entries.try_emplace(endpoint.host);
         MirrorEntry& entry = it->second;
-        // Older: from a source that lags. It says at least that the host is not forgotten there, yet not what it is now.
-        if (!isNew && age(endpoint) < age(entry.endpoint))
+        // An older record comes from a source that lags: the source still knows the host, but not its current state.
+        if (!isNew && revision(endpoint) < revision(entry.endpoint))
             return false;
-        const bool news = isNew || age(endpoint) != age(entry.endpoint) || endpoint.state != entry.endpoint.state;
+        const bool changed = isNew || revision(endpoint) != revision(entry.endpoint) || endpoint.state != entry.endpoint.state;
         entry.endpoint = endpoint;
         entry.unconfirmedSince.reset();
         entry.removedAt = now;
-        return news;
+        return changed;
     }
 
 } // namespace
 
 base::Result<std::vector<Endpoint>> applyEndpoints(EndpointMirror& mirror, const EndpointsDelta& delta, base::Time now)
 {
-    if (auto fits = checkFits(mirror, delta); !fits)
-        return fits.error();
+    if (auto checked = checkPosition(mirror, delta); !checked)
+        return checked.error();
     if (delta.restartsList)
         markAllUnconfirmed(mirror, now);
-    std::vector<Endpoint> news;
+    std::vector<Endpoint> changed;
     for (const Endpoint& it : delta.endpoints) {
-        if (take(mirror, it, now))
-            news.push_back(it);
+        if (updateEntry(mirror, it, now))
+            changed.push_back(it);
     }
     mirror.cursor = delta.to;
-    return news;
+    return changed;
 }
 
 std::vector<Endpoint> expireUnconfirmed(EndpointMirror& mirror, base::Time linkedSince, base::Time now)
@@ -81,10 +81,10 @@
             candidates.push_back(&entry);
         ++it;
     }
-    const bool held = expiryIsPaused(static_cast<int64_t>(candidates.size()), live);
+    const bool paused = expiryIsPaused(static_cast<int64_t>(candidates.size()), live);
     std::vector<Endpoint> out;
     for (MirrorEntry* entry : candidates) {
-        if (held && now - std::max(*entry->unconfirmedSince, linkedSince) < maxExpiryPause)
+        if (paused && now - std::max(*entry->unconfirmedSince, linkedSince) < maxExpiryPause)
             continue;
         entry->endpoint.state = EndpointState::Gone;
         entry->unconfirmedSince.reset();
--- a/src/appletally/config/endpoint_mirror.h
+++ b/src/appletally/config/endpoint_mirror.h
@@ -1,8 +1,8 @@
-// The endpoints as a node holds them, fed by one source at a time and by another after a reconnect.
+// A node's copy of the endpoints, updated by one source at a time and by another one after a reconnect.
 //
-// A source that has just restarted knows few endpoints. Taken at its word, its first list would empty the node and all
-// callers would be refused for want of upstreams; so what a new list does not repeat is only in doubt, and goes after
-// the time within which its writer must have renewed it.
+// A source that has just restarted knows few endpoints. If its first list replaced the node's copy, all callers would be
+// rejected for lack of upstreams. So an endpoint that a new list does not repeat is only marked as unconfirmed, and is
+// removed after the time within which its writer must have renewed it.
 #pragma once
 
 #include "appletally/base/result.h"
@@ -15,23 +15,23 @@
 namespace appletally::config {
 
 struct MirrorEntry {
-    Endpoint endpoint; // state Gone: kept, so that an older record from another source does not bring it back
-    std::optional<base::Time> unconfirmedSince; // since when the source's list lacks it
-    base::Time removedAt; // only where it is gone
+    Endpoint endpoint; // state Gone: kept as a tombstone, so that an older record from another source does not restore it
+    std::optional<base::Time> unconfirmedSince; // when a new list of the source started; empty: the list contains it
+    base::Time removedAt; // valid in state Gone only
 };
 
 struct EndpointMirror {
-    EndpointCursor cursor; // what to ask the source from; set it empty where the set of services grows
+    EndpointCursor cursor; // where to continue reading from the source; reset it when the set of services grows
     std::map<base::HostId, MirrorEntry> entries;
 };
 
-// Returns what is news for the node's task. On an error nothing has changed:
-//   VersionTooOld    doubled or overtaken; harmless
-//   DeltaDoesNotFit  one before it is missing; ask from `cursor`
+// Returns the endpoints that changed. On an error nothing has changed:
+//   VersionTooOld    duplicated or late; harmless
+//   DeltaDoesNotFit  an earlier delta is missing; request again from `cursor`
 base::Result<std::vector<Endpoint>> applyEndpoints(EndpointMirror&, const EndpointsDelta&, base::Time now);
 
-// While the source is linked: drops what was in doubt for too long, returns it as Gone. Not to be called without a
-// source: then nothing is known, and what is held stays. The hold of expiryIsHeld() applies.
+// Removes endpoints that were unconfirmed for endpointLifetime and returns them in state Gone. To be called only while a
+// source is linked: without one nothing is known and all endpoints stay. Pauses as expiryIsPaused() says.
 std::vector<Endpoint> expireUnconfirmed(EndpointMirror&, base::Time linkedSince, base::Time now);
 
 } // namespace appletally::config
--- a/src/appletally/config/endpoint_registry.cpp
+++ b/src/appletally/config/endpoint_registry.cpp
@@ -1,4 +1,4 @@
-// The registry: one writer for each record, the later one wins, changes in the order in which they came here.
+// The registry: one writer for each record, later records win, changes are numbered in the order of their arrival.
 #include "appletally/config/endpoint_registry.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace {
 
-    std::pair<base::Incarnation, base::Sequence> age(const Endpoint& it) { return { it.incarnation, it.sequence }; }
+    std::pair<base::Incarnation, base::Sequence> revision(const Endpoint& it) { return { it.incarnation, it.sequence }; }
 
     void markChanged(EndpointRegistry& registry, RegistryEntry& entry)
     {
@@ -19,7 +19,7 @@
 
     bool isGone(const RegistryEntry& it) { return it.expired || it.endpoint.state == EndpointState::Gone; }
 
-    bool concerns(const RegistryEntry& entry, const std::set<base::ServiceName>* services)
+    bool isRelevant(const RegistryEntry& entry, const std::set<base::ServiceName>* services)
     {
         if (!services || services->contains(entry.endpoint.service))
             return true;
@@ -62,9 +62,9 @@
 {
     auto [it, isNew] = registry.entries.try_emplace(endpoint.host);
     RegistryEntry& entry = it->second;
-    if (!isNew && age(endpoint) < age(entry.endpoint))
+    if (!isNew && revision(endpoint) < revision(entry.endpoint))
         return false;
-    if (!isNew && age(endpoint) == age(entry.endpoint))
+    if (!isNew && revision(endpoint) == revision(entry.endpoint))
         return applyHeartbeat(registry, entry, heartbeat, now);
     if (!isNew && entry.endpoint.service != endpoint.service)
         entry.previousServices.insert(entry.endpoint.service);
@@ -82,9 +82,9 @@
     if (it == registry.entries.end())
         return false;
     const std::pair renewed(renewal.incarnation, renewal.sequence);
-    if (renewed > age(it->second.endpoint))
+    if (renewed > revision(it->second.endpoint))
         return false;
-    if (renewed == age(it->second.endpoint))
+    if (renewed == revision(it->second.endpoint))
         applyHeartbeat(registry, it->second, renewal.heartbeat, now);
     return true;
 }
@@ -110,10 +110,10 @@
         if (now - entry.renewed >= endpointLifetime)
             candidates.push_back(&entry);
     }
-    const bool held = expiryIsPaused(static_cast<int64_t>(candidates.size()), live);
+    const bool paused = expiryIsPaused(static_cast<int64_t>(candidates.size()), live);
     size_t out = 0;
     for (RegistryEntry* entry : candidates) {
-        if (held && now - entry->renewed < maxExpiryPause)
+        if (paused && now - entry->renewed < maxExpiryPause)
             continue;
         entry->expired = true;
         entry->renewed = now;
@@ -155,19 +155,19 @@
     uint64_t reached = out.restartsList ? 0 : cursor.change;
     for (auto it = registry.byChange.upper_bound(reached); it != registry.byChange.end(); ++it) {
         const RegistryEntry& entry = registry.entries.at(it->second);
-        const bool wanted = concerns(entry, services);
-        if (wanted && out.endpoints.size() == maxEndpoints) {
+        const bool relevant = isRelevant(entry, services);
+        if (relevant && out.endpoints.size() == maxEndpoints) {
             out.more = true;
             break;
         }
-        if (wanted) {
+        if (relevant) {
             out.endpoints.push_back(entry.endpoint);
             if (entry.expired)
                 out.endpoints.back().state = EndpointState::Gone;
         }
         reached = it->first;
     }
-    // At the end of the list, dropped tombstones are read as well.
+    // At the end of the list, the changes of dropped tombstones count as read too.
     out.to = { registry.id, out.more ? reached : registry.lastChange, out.restartsList ? registry.lastChange : cursor.since };
     return out;
 }
--- a/src/appletally/config/endpoint_registry.h
+++ b/src/appletally/config/endpoint_registry.h
@@ -1,12 +1,12 @@
-// The endpoints that a control process knows, and what changed since a subscriber's last word.
+// The endpoints known to a control process, and their changes since a subscriber's last read.
 //
-// Each record has one writer, the node beside the upstream; records travel in any order and any number of times, and
-// the later (incarnation, sequence) wins. A record that is not renewed expires here and becomes a tombstone, so that
-// subscribers hear of it; the writer's next sign of life brings it back.
+// Each record has one writer, the node beside the upstream. Records may arrive in any order and any number of times; the
+// higher (incarnation, sequence) wins. A record that is not renewed expires and becomes a tombstone, so that subscribers
+// are notified; the writer's next heartbeat restores it.
 //
-// The sequence counts contents: equal (incarnation, sequence), equal content. A sign of life without news is a renewal,
-// counted by its own beat. Were renewals to raise the sequence, a relay that missed a record but heard the renewal after
-// it would refuse that record as old, and an upstream that is draining would stay "ready" there.
+// The sequence numbers contents: records of equal (incarnation, sequence) have equal content. A renewal without a change
+// has a heartbeat number of its own. If renewals raised the sequence, a relay that missed a record but received the
+// renewal after it would reject that record as old, and a draining upstream would stay "ready" there.
 #pragma once
 
 #include "appletally/base/clock.h"
@@ -18,52 +18,52 @@
 
 namespace appletally::config {
 
-// How far a subscriber has read. Change numbers of two registries, or of one before and after a restart, have nothing
-// in common; `registry` tells them apart.
+// How far a subscriber has read. Change numbers of different registries, or of one before and after a restart, are not
+// comparable; `registry` distinguishes them.
 struct EndpointCursor {
     uint64_t registry = 0;
     uint64_t change = 0; // 0: nothing read yet
-    uint64_t since = 0; // the last change when the list was last started anew
+    uint64_t since = 0; // the registry's last change when the list was last restarted
     bool operator==(const EndpointCursor&) const = default;
 };
 
 // One batch for one subscriber.
 struct EndpointsDelta {
-    EndpointCursor from; // where the subscriber stood; not looked at where `whole`
-    EndpointCursor to; // where it stands after this batch
-    bool restartsList = false; // starts the list anew: what this batch and the next do not repeat is in doubt
-    bool more = false; // ask again at once
-    std::vector<Endpoint> endpoints; // state Gone: forget it
+    EndpointCursor from; // the subscriber's position before this batch; ignored with `restartsList`
+    EndpointCursor to; // its position after this batch
+    bool restartsList = false; // endpoints that this batch and the following ones do not repeat are unconfirmed
+    bool more = false; // request the next batch at once
+    std::vector<Endpoint> endpoints; // state Gone: remove it
 };
 
-// The sign of life of a record that has not changed, as relays pass it on to each other.
+// Renews a record that has not changed; relays forward it to each other.
 struct EndpointRenewal {
     base::HostId host;
     base::Incarnation incarnation;
     base::Sequence sequence;
-    uint64_t heartbeat = 0; // counted by the writer within one sequence
+    uint64_t heartbeat = 0; // counted by the writer within one sequence number
 };
 
-// Tombstones outlive every older record that may still be on its way: records are renewed every two seconds, and a
-// subscriber that was away for longer starts anew.
+// Tombstones outlive every older record that may still be in flight: records are renewed every two seconds, and a
+// subscriber that was disconnected for longer restarts its list.
 constexpr base::Duration tombstoneLifetime { 60'000 };
 
-// When more records than this run out at once, it is control's links that broke and not a fifth of all upstreams: a
-// herd of nodes that waits to be let in again would else be taken out of service everywhere. Callers notice truly dead
-// nodes by their own links, so holding the records costs little; three at least, for small meshes.
+// If more records than this expire at once, the links of the control processes broke rather than a fifth of all
+// upstreams; without a pause, many nodes waiting to reconnect would be taken out of service everywhere. Other nodes
+// detect dead nodes by their own links, so keeping the records costs little. In small meshes three may always expire.
 constexpr int64_t maxExpiredPercent = 20;
 constexpr int64_t maxExpiredInSmallMesh = 3;
-constexpr base::Duration maxExpiryPause { 600'000 }; // then they go whatever their number
+constexpr base::Duration maxExpiryPause { 600'000 }; // after this, records expire whatever their number
 
 bool expiryIsPaused(int64_t expired, int64_t live);
 
 struct RegistryEntry {
     Endpoint endpoint;
-    uint64_t heartbeat = 0; // highest that came
-    base::Time renewed; // when the latest record or renewal came, or when it ran out
-    bool expired = false; // shown as gone to subscribers; a renewal brings it back
-    uint64_t change = 0; // of the last change that subscribers must hear of
-    std::set<base::ServiceName> previousServices; // services that the host served before: their subscribers must hear that it left
+    uint64_t heartbeat = 0; // highest received
+    base::Time renewed; // when the latest record or renewal arrived, or when the record expired
+    bool expired = false; // sent to subscribers as gone; a renewal restores it
+    uint64_t change = 0; // number of the last change that subscribers must receive
+    std::set<base::ServiceName> previousServices; // served by the host before; their subscribers must learn that it left
 };
 
 struct EndpointRegistry {
@@ -71,26 +71,26 @@
     std::map<base::HostId, RegistryEntry> entries;
     std::map<uint64_t, base::HostId> byChange; // invariant: one for each entry, by its `change`
     uint64_t lastChange = 0;
-    uint64_t lastDroppedChange = 0; // highest change of a dropped tombstone: who has read less must start anew
+    uint64_t lastDroppedChange = 0; // highest change of a dropped tombstone; a subscriber that has read less restarts its list
 };
 
-// Whether it was news: later than what is held, or a sign of life. From the writer with its beat, from another relay
-// with beat 0, which renews nothing.
+// Returns whether the registry changed: a later record, or a renewal. Records from the writer carry its heartbeat
+// number, those from another relay 0, which renews nothing.
 bool put(EndpointRegistry&, const Endpoint&, uint64_t heartbeat, base::Time now);
 
-// False where the record itself is needed first.
+// False: the record itself is missing and needed first.
 bool renew(EndpointRegistry&, const EndpointRenewal&, base::Time now);
 std::vector<EndpointRenewal> renewalsSince(const EndpointRegistry&, base::Time since);
 
-// How many ready upstreams run each version of a service.
+// Number of ready upstreams by version of a service.
 using ReadyByVersion = std::map<base::UpstreamVersion, size_t>;
 std::map<base::ServiceName, ReadyByVersion> readyUpstreams(const EndpointRegistry&);
 ReadyByVersion readyUpstreams(const EndpointRegistry&, const base::ServiceName&);
 
-// Turns what ran out into tombstones and drops old tombstones. Returns how many records ran out now.
+// Turns expired records into tombstones and drops old tombstones. Returns how many records expired now.
 size_t expire(EndpointRegistry&, base::Time now);
 
-// `services`: null for all. A subscriber whose set grows starts from an empty cursor.
+// `services`: null for all. A subscriber whose set of services grows starts from an empty cursor.
 EndpointsDelta changesSince(const EndpointRegistry&, EndpointCursor, const std::set<base::ServiceName>* services, size_t maxEndpoints);
 
 } // namespace appletally::config
--- a/src/appletally/config/evidence.h
+++ b/src/appletally/config/evidence.h
@@ -1,7 +1,7 @@
-// What one node saw of one version of its own upstream on one route.
+// Answers and latencies of one version of a node's own upstream on one route.
 //
-// Counters only grow within one incarnation of the node, so a report that is lost, late or doubled does no harm: the
-// receiver keeps the largest of each incarnation and adds the incarnations up.
+// Counters only grow within one incarnation of the node, so lost, late and duplicate reports are harmless: the receiver
+// keeps the largest value of each incarnation and sums over the incarnations.
 #pragma once
 
 #include "appletally/base/ids.h"
@@ -10,7 +10,7 @@
 
 namespace appletally::config {
 
-// Latency bins by powers of the square root of two, from below 1 ms: bin n holds up to 1.414^n ms, the last is open.
+// Latency bins by powers of the square root of two, from below 1 ms: bin n covers up to 1.414^n ms, the last is open.
 constexpr size_t latencyBins = 32;
 
 struct Evidence {
@@ -19,13 +19,13 @@
     base::ServiceName service;
     base::RouteName route;
     base::UpstreamVersion version;
-    uint64_t answers = 0; // whole answers, good or failed; refusals ("not run") are not among them
-    uint64_t failures = 0; // status 5xx, cut, malformed or timed out
+    uint64_t answers = 0; // complete answers, good or failed; without rejections ("not run")
+    uint64_t failures = 0; // status 5xx, truncated, malformed or timed out
     std::array<uint32_t, latencyBins> latency {}; // run time at the upstream, without waiting in the node's queue
-    std::array<uint32_t, latencyBins> busyLatency {}; // the part of it that ran with three quarters of the slots taken
-    uint64_t coldAnswers = 0; // answers within the warm-up of a new upstream; not in the bins nor in answers
+    std::array<uint32_t, latencyBins> busyLatency {}; // the part of `latency` with three quarters of the slots in use
+    uint64_t coldAnswers = 0; // answers during the slow start of a new upstream; not in `latency` nor in `answers`
     uint64_t coldFailures = 0;
-    bool stoppedHere = false; // the node has stopped this version by its own verdict
+    bool stoppedHere = false; // the node has stopped this version by its own decision
 };
 
 } // namespace appletally::config
--- a/src/appletally/config/generate.cpp
+++ b/src/appletally/config/generate.cpp
@@ -1,4 +1,4 @@
-// Generation and the check of closedness.
+// Generates snapshots from answers and validates snapshots.
 #include "appletally/config/generate.h"
 
 #include <algorithm>
@@ -13,9 +13,9 @@
 
 namespace {
 
-    // Convergence first: 20 ms gathers what one operator's action causes, and is a fiftieth of the second that all
-    // reachable nodes may take. Bytes first: half a second gathers the churn of a whole restart wave, and still leaves
-    // the eleven seconds of the largest mesh untouched.
+    // Low latency: 20 ms combines the changes of one operator's action, and is a fiftieth of the second within which all
+    // reachable nodes must converge. Low traffic: half a second combines the changes of many restarts at once, and is
+    // still small against the eleven seconds that the largest mesh may take.
     constexpr ControlTiming lowLatencyTiming { OptimizationGoal::SpeedAndRollback, base::Duration { 20 }, base::Duration { 200 } };
     constexpr ControlTiming lowTrafficTiming { OptimizationGoal::CompletionAndBytes, base::Duration { 500 }, base::Duration { 1000 } };
 
@@ -71,10 +71,10 @@
         return base::success();
     }
 
-    // Takes away services whose dependencies are all taken away, until nothing is left or only a circle is.
+    // Removes services without remaining dependencies until no service is left or only cycles are.
     base::Result<void> checkNoCycle(const Snapshot& snapshot)
     {
-        std::map<base::ServiceName, size_t> open; // dependencies not yet taken away
+        std::map<base::ServiceName, size_t> open; // remaining dependencies
         std::map<base::ServiceName, std::vector<base::ServiceName>> dependents;
         std::vector<base::ServiceName> free;
         for (const auto& [name, service] : snapshot.services) {
@@ -100,9 +100,9 @@
 
     base::Result<void> checkRoutes(const Snapshot& snapshot)
     {
-        // What each route matches, as views: copies of 300 routes' strings took a fifth of the time of a change.
-        std::vector<std::tuple<std::string_view, std::string_view, std::string_view, const base::RouteName*>> places;
-        places.reserve(snapshot.routes.size());
+        // What each route matches. Views, because copying the strings of 300 routes takes a fifth of the time of a change.
+        std::vector<std::tuple<std::string_view, std::string_view, std::string_view, const base::RouteName*>> matchKeys;
+        matchKeys.reserve(snapshot.routes.size());
         for (const auto& [name, route] : snapshot.routes) {
             if (route.name != name)
                 return fail(Code::AnswersInvalid, "route " + name.text + " is filed under another name");
@@ -116,13 +116,13 @@
             }
             if (!route.pathPrefix.starts_with('/') || route.method.empty())
                 return fail(Code::AnswersInvalid, "route " + name.text + ": no method or no path from '/'");
-            places.emplace_back(route.host, route.method, route.pathPrefix, &name);
+            matchKeys.emplace_back(route.host, route.method, route.pathPrefix, &name);
         }
-        const auto placeOf = [](const auto& it) { return std::tie(std::get<0>(it), std::get<1>(it), std::get<2>(it)); };
-        std::sort(places.begin(), places.end(), [&](const auto& a, const auto& b) { return placeOf(a) < placeOf(b); });
-        const auto alike = std::adjacent_find(places.begin(), places.end(), [&](const auto& a, const auto& b) { return placeOf(a) == placeOf(b); });
-        if (alike != places.end())
-            return fail(Code::AnswersInvalid, "routes " + std::get<3>(*alike)->text + " and " + std::get<3>(*std::next(alike))->text + " are alike");
+        const auto keyOf = [](const auto& it) { return std::tie(std::get<0>(it), std::get<1>(it), std::get<2>(it)); };
+        std::sort(matchKeys.begin(), matchKeys.end(), [&](const auto& a, const auto& b) { return keyOf(a) < keyOf(b); });
+        const auto duplicate = std::adjacent_find(matchKeys.begin(), matchKeys.end(), [&](const auto& a, const auto& b) { return keyOf(a) == keyOf(b); });
+        if (duplicate != matchKeys.end())
+            return fail(Code::AnswersInvalid, "routes " + std::get<3>(*duplicate)->text + " and " + std::get<3>(*std::next(duplicate))->text + " are alike");
         return base::success();
     }
 
@@ -154,7 +154,8 @@
         return base::success();
     }
 
-    // Two processes that sort the members differently would ask different keepers, and a request could run twice.
+    // Processes with a different order of the members would request claims from different keepers, and a request could
+    // run twice.
     base::Result<void> checkKeepers(const std::vector<Keeper>& members)
     {
         const auto outOfOrder = [](const Keeper& a, const Keeper& b) { return !(a.host < b.host); };
--- a/src/appletally/config/generate.h
+++ b/src/appletally/config/generate.h
@@ -1,6 +1,6 @@
-// Makes a snapshot of the teams' answers, and checks that a snapshot is closed.
+// Generates a snapshot from the teams' answers and validates snapshots.
 //
-// Deterministic: every replica generates for itself from the same answers and must get the same bytes.
+// Deterministic: each replica generates its own snapshot from the same answers and must get the same bytes.
 #pragma once
 
 #include "appletally/base/result.h"
@@ -15,16 +15,16 @@
 // By the name of the answers.
 using AnswersOfTeams = std::map<std::string, Answers>;
 
-// Version 0, no rollouts, no keepers: those are laid over it by the state machine.
+// Version 0, without rollouts and keepers, which the state machine adds.
 Snapshot generate(const Answers&);
 
-// All teams together. AnswersInvalid where two teams name the same service or route. The pace is the fastest that any
-// team asks for, since one delta carries the changes of all.
+// All teams together. AnswersInvalid if two teams declare the same service or route. The timing is the fastest that any
+// team requests, since one delta carries the changes of all.
 base::Result<Snapshot> generate(const AnswersOfTeams&);
 
-// Refuses a snapshot that a node could not enforce as a whole:
-//   DanglingReference  a route, dependency or rollout names what the snapshot lacks
-//   AnswersInvalid     dependencies in a circle, shares that do not add up, two routes alike, keys unlike their values
+// Rejects a snapshot that a node could not apply as a whole:
+//   DanglingReference  a route, dependency or rollout names something that the snapshot does not contain
+//   AnswersInvalid     cyclic dependencies, shares that do not add up, duplicate routes, keys that differ from their values
 base::Result<void> validate(const Snapshot&);
 
 } // namespace appletally::config
--- a/src/appletally/config/json_names.h
+++ b/src/appletally/config/json_names.h
@@ -1,4 +1,4 @@
-// Lists of names to JSON and back, as the codecs of this folder need them. Not for others.
+// Lists of names to JSON and back. Internal to the codecs of this folder.
 #pragma once
 
 #include "appletally/base/json_reader.h"
--- a/src/appletally/config/model.cpp
+++ b/src/appletally/config/model.cpp
@@ -1,4 +1,4 @@
-// Questions about a snapshot that several parts ask.
+// Queries on snapshots that are shared by several modules.
 #include "appletally/config/model.h"
 
 #include <algorithm>
--- a/src/appletally/config/outcomes.cpp
+++ b/src/appletally/config/outcomes.cpp
@@ -1,4 +1,4 @@
-// Keeping and forgetting outcomes; the rule stands beside OperatorRecord.
+// Stores and drops outcomes by the rule documented at OperatorRecord.
 #include "appletally/config/outcomes.h"
 
 #include <algorithm>
@@ -16,14 +16,14 @@
 
     constexpr size_t maxOutcomeBytes = 500;
 
-    void forgetOldestNumber(OperatorRecord& record)
+    void dropOldestNumber(OperatorRecord& record)
     {
         const auto oldest = record.outcomes.begin();
         record.forgotten = std::max(record.forgotten, oldest->first);
         record.outcomes.erase(oldest);
     }
 
-    void forgetOldestOperator(State& state)
+    void dropOldestOperator(State& state)
     {
         const auto earlier = [](const auto& a, const auto& b) { return a.second.last < b.second.last; };
         const auto oldest = std::min_element(state.operators.begin(), state.operators.end(), earlier);
@@ -41,7 +41,7 @@
     return it == record->second.outcomes.end() ? nullptr : &it->second;
 }
 
-std::optional<Outcome> answerFromTable(const State& state, const OperatorRequest& request, uint64_t hash)
+std::optional<Outcome> findStoredAnswer(const State& state, const OperatorRequest& request, uint64_t hash)
 {
     if (const StoredOutcome* kept = findOutcome(state, request.by, request.number)) {
         if (kept->hash == hash)
@@ -69,15 +69,15 @@
     return out;
 }
 
-void keepOutcome(State& state, const OperatorRequest& request, uint64_t hash, const Outcome& outcome)
+void storeOutcome(State& state, const OperatorRequest& request, uint64_t hash, const Outcome& outcome)
 {
     if (!state.operators.contains(request.by) && state.operators.size() >= maxOperators)
-        forgetOldestOperator(state);
+        dropOldestOperator(state);
     OperatorRecord& record = state.operators[request.by];
     record.last = state.applied;
     record.outcomes[request.number] = { hash, outcome };
     if (record.outcomes.size() > maxOutcomesPerOperator)
-        forgetOldestNumber(record);
+        dropOldestNumber(record);
 }
 
 } // namespace appletally::config
--- a/src/appletally/config/outcomes.h
+++ b/src/appletally/config/outcomes.h
@@ -1,4 +1,4 @@
-// The table of outcomes of operators' requests: what is kept, what is repeated, what is forgotten.
+// The table of outcomes of operators' requests, from which resends are answered.
 #pragma once
 
 #include "appletally/config/state_machine.h"
@@ -7,16 +7,17 @@
 
 namespace appletally::config {
 
-// The answer without running anything: a resend, a reused number, or a number that is forgotten. Empty: it is fresh.
-std::optional<Outcome> answerFromTable(const State&, const OperatorRequest&, uint64_t hash);
+// The answer to a resend, a reused number or a number whose outcome was dropped, without running the request. Empty: the
+// request is new.
+std::optional<Outcome> findStoredAnswer(const State&, const OperatorRequest&, uint64_t hash);
 
-// Refuses a base above what exists. Empty: fine.
+// Refuses a base version that does not exist yet. Empty: valid.
 std::optional<Outcome> checkBase(const State&, const OperatorRequest&);
 
-// Printable ASCII and at most 500 bytes. The text may quote what an operator sent; kept whole and by the thousand it
-// would fill the log's snapshots, and cut within a character it would come back from one as other bytes.
+// Printable ASCII, at most 500 bytes. The text may quote an operator's input: thousands of unlimited texts would fill the
+// log's snapshots, and a text truncated within a multi-byte character would be decoded to other bytes.
 std::string sanitizedText(const std::string&);
 
-void keepOutcome(State&, const OperatorRequest&, uint64_t hash, const Outcome&);
+void storeOutcome(State&, const OperatorRequest&, uint64_t hash, const Outcome&);
 
 } // namespace appletally::config
--- a/src/appletally/config/questionnaire.cpp
+++ b/src/appletally/config/questionnaire.cpp
@@ -1,4 +1,4 @@
-// Checked reading of the questionnaire; every problem names its path.
+// Validated parsing of the questionnaire; every error reports its path.
 #include "appletally/config/questionnaire.h"
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 
 namespace {
 
-    // Outer bounds, wide enough for any sane service; they catch a mistyped unit (seconds for milliseconds, or the reverse).
+    // Bounds that are wide enough for any reasonable service; they catch a wrong unit (seconds for milliseconds or the reverse).
     constexpr Duration minTimeout { 10 };
     constexpr Duration maxTimeout { 600'000 }; // archives of a large customer take minutes
     constexpr int64_t maxSlots = 10'000;
@@ -23,7 +23,7 @@
     constexpr size_t maxRoutesPerService = 200;
 
     const std::vector<std::string> priorities = { "command", "lookup", "read", "archive" }; // in the order of Priority
-    const std::vector<std::string> weighings = { "speed-and-take-back", "completion-and-bytes" }; // in the order of Weighing
+    const std::vector<std::string> goals = { "speed-and-take-back", "completion-and-bytes" }; // in the order of OptimizationGoal
     const std::vector<std::string> methods = { "*", "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE" };
     const char* const nameExpected = "letters, digits, '.', '_' or '-', 64 at most";
 
@@ -50,7 +50,7 @@
         return out;
     }
 
-    // A '/' at the end or an empty segment would make two prefixes that look alike match differently.
+    // With a trailing '/' or an empty segment, two prefixes that look alike would match different paths.
     bool prefixIsValid(const std::string& text)
     {
         if (text == "/")
@@ -59,7 +59,7 @@
         return plain && text.starts_with('/') && !text.ends_with('/') && text.find("//") == std::string::npos;
     }
 
-    RouteAnswers readRoute(JsonReader& it, const std::vector<base::CallerId>& known)
+    RouteAnswers readRoute(JsonReader& it, const std::vector<base::CallerId>& knownCallers)
     {
         RouteAnswers out;
         out.name.text = readName(it, "name");
@@ -76,7 +76,7 @@
         out.maxRequestBody.count = static_cast<uint64_t>(it.integer("most_body_bytes", 0, maxBodyBytes, static_cast<int64_t>(out.maxRequestBody.count)));
         out.callers = readNames<base::CallerId>(it, "callers");
         for (const base::CallerId& caller : out.callers) {
-            if (std::find(known.begin(), known.end(), caller) == known.end())
+            if (std::find(knownCallers.begin(), knownCallers.end(), caller) == knownCallers.end())
                 it.refuse(Code::SettingsOutOfRange, "callers", "kinds of callers from the list at the top, not " + caller.text);
         }
         it.finish();
@@ -93,7 +93,7 @@
         return out;
     }
 
-    ServiceAnswers readService(JsonReader& it, const std::vector<base::CallerId>& known)
+    ServiceAnswers readService(JsonReader& it, const std::vector<base::CallerId>& knownCallers)
     {
         ServiceAnswers out;
         out.name.text = readName(it, "name");
@@ -106,14 +106,14 @@
         if (it.has("new_versions"))
             out.newVersions = readNewVersions(it.object("new_versions"));
         for (JsonReader& route : it.objects("routes"))
-            out.routes.push_back(readRoute(route, known));
+            out.routes.push_back(readRoute(route, knownCallers));
         if (out.routes.size() > maxRoutesPerService)
             it.refuse(Code::SettingsOutOfRange, "routes", std::to_string(maxRoutesPerService) + " routes at most");
         it.finish();
         return out;
     }
 
-    void refuseDoubles(JsonReader& top, const Answers& answers)
+    void rejectDuplicates(JsonReader& top, const Answers& answers)
     {
         std::set<base::ServiceName> services;
         std::set<base::RouteName> routes;
@@ -127,19 +127,19 @@
         }
     }
 
-    // Parsers accept two equal keys in one object without an error: a team that writes "idempotent" twice would
-    // get one of its two answers, and a donation might be repeated. `doubled` names the first such key.
-    void findRepeatedKey(const std::string& bytes, std::string& doubled)
+    // JSON parsers accept duplicate keys in an object without an error: of two "idempotent" keys one would be used, and a
+    // donation might be repeated. `repeatedKey` is set to the first such key.
+    void findRepeatedKey(const std::string& bytes, std::string& repeatedKey)
     {
-        std::vector<std::set<std::string>> open; // keys seen in the objects that are not closed yet
+        std::vector<std::set<std::string>> open; // keys of the objects that are not closed yet
         const auto watch = [&](int, base::Json::parse_event_t event, const base::Json& value) {
             if (event == base::Json::parse_event_t::object_start)
                 open.emplace_back();
             if (event == base::Json::parse_event_t::object_end)
                 open.pop_back();
             const bool isKey = event == base::Json::parse_event_t::key;
-            if (isKey && !open.back().insert(value.get<std::string>()).second && doubled.empty())
-                doubled = value.get<std::string>();
+            if (isKey && !open.back().insert(value.get<std::string>()).second && repeatedKey.empty())
+                repeatedKey = value.get<std::string>();
             return true;
         };
         const base::Json ignored = base::Json::parse(bytes, watch, false);
@@ -159,13 +159,13 @@
     JsonReader top(json, file, problem);
     Answers out;
     out.name = readName(top, "name");
-    out.goal = static_cast<OptimizationGoal>(top.choice("weighing", weighings));
+    out.goal = static_cast<OptimizationGoal>(top.choice("weighing", goals));
     out.callers = readNames<base::CallerId>(top, "callers");
     for (JsonReader& service : top.objects("services"))
         out.services.push_back(readService(service, out.callers));
     if (out.services.size() > maxServices)
         top.refuse(Code::SettingsOutOfRange, "services", std::to_string(maxServices) + " services at most");
-    refuseDoubles(top, out);
+    rejectDuplicates(top, out);
     top.finish();
     if (problem.first)
         return base::fail(Code::AnswersInvalid, problem.first->text);
@@ -176,10 +176,10 @@
 {
     if (bytes.size() > maxAnswersBytes)
         return base::fail(Code::AnswersInvalid, file + ": (top): expected " + std::to_string(maxAnswersBytes) + " bytes at most");
-    std::string doubled;
-    findRepeatedKey(bytes, doubled);
-    if (!doubled.empty())
-        return base::fail(Code::AnswersInvalid, file + ": " + doubled + ": expected this key only once");
+    std::string repeatedKey;
+    findRepeatedKey(bytes, repeatedKey);
+    if (!repeatedKey.empty())
+        return base::fail(Code::AnswersInvalid, file + ": " + repeatedKey + ": expected this key only once");
     const auto json = base::parseJson(bytes);
     if (!json)
         return base::fail(Code::AnswersInvalid, file + ": (top): expected JSON");
--- a/src/appletally/config/route_match.cpp
+++ b/src/appletally/config/route_match.cpp
@@ -10,16 +10,16 @@
 
     std::string_view withoutQuery(std::string_view path) { return path.substr(0, path.find('?')); }
 
-    bool fits(const Route& route, std::string_view method) { return route.method == "*" || route.method == method; }
+    bool methodMatches(const Route& route, std::string_view method) { return route.method == "*" || route.method == method; }
 
-    const Route* fitting(const std::vector<const Route*>& routes, std::string_view method)
+    const Route* findByMethod(const std::vector<const Route*>& routes, std::string_view method)
     {
-        auto it = std::find_if(routes.begin(), routes.end(), [&](const Route* route) { return fits(*route, method); });
+        auto it = std::find_if(routes.begin(), routes.end(), [&](const Route* route) { return methodMatches(*route, method); });
         return it == routes.end() ? nullptr : *it;
     }
 
-    // "/plugs" covers "/plugs" and "/plugs/4", not "/plugsets".
-    bool covers(std::string_view prefix, std::string_view path)
+    // "/plugs" matches "/plugs" and "/plugs/4", but not "/plugsets".
+    bool prefixMatches(std::string_view prefix, std::string_view path)
     {
         if (prefix.ends_with('/'))
             return path.starts_with(prefix);
@@ -55,11 +55,11 @@
     return prefix.substr(0, prefix.rfind('/') + 1);
 }
 
-static const Route* longest(const RoutesByPrefix& routes, std::string_view method, std::string_view path)
+static const Route* findLongestPrefix(const RoutesByPrefix& routes, std::string_view method, std::string_view path)
 {
     for (std::string_view prefix = path; !prefix.empty(); prefix = nextShorter(prefix)) {
         if (auto it = routes.find(prefix); it != routes.end()) {
-            if (const Route* route = fitting(it->second, method))
+            if (const Route* route = findByMethod(it->second, method))
                 return route;
         }
         if (prefix == "/")
@@ -75,7 +75,7 @@
         return nullptr;
     for (const std::string& it : { hostName(host), std::string() }) {
         const auto routes = index.byHost.find(it);
-        const Route* route = routes == index.byHost.end() ? nullptr : longest(routes->second, method, path);
+        const Route* route = routes == index.byHost.end() ? nullptr : findLongestPrefix(routes->second, method, path);
         if (route)
             return route;
     }
@@ -87,11 +87,11 @@
     path = withoutQuery(path);
     const Route* best = nullptr;
     for (const auto& [name, route] : snapshot.routes) {
-        if (!route.host.empty() || !fits(route, method) || !covers(route.pathPrefix, path))
+        if (!route.host.empty() || !methodMatches(route, method) || !prefixMatches(route.pathPrefix, path))
             continue;
         const bool longer = !best || route.pathPrefix.size() > best->pathPrefix.size();
-        const bool closer = best && route.pathPrefix.size() == best->pathPrefix.size() && best->method == "*";
-        if (longer || closer)
+        const bool moreSpecific = best && route.pathPrefix.size() == best->pathPrefix.size() && best->method == "*";
+        if (longer || moreSpecific)
             best = &route;
     }
     return best;
--- a/src/appletally/config/state_codec.cpp
+++ b/src/appletally/config/state_codec.cpp
@@ -1,4 +1,4 @@
-// The state of the log's state machine as bytes: what a snapshot of the log holds, and a joining replica gets.
+// Encoding of the state machine's state, as stored in snapshots of the log and sent to joining replicas.
 #include "appletally/config/codec.h"
 #include "appletally/config/state_machine.h"
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-    // 1 MB of answers for each of a few teams, the outcomes and the history.
+    // For 1 MB of answers for each of a few teams, the outcomes and the history.
     constexpr size_t maxStateBytes = 64 * 1024 * 1024;
     constexpr size_t maxTextBytes = 64 * 1024;
 
--- a/src/appletally/config/state_machine.cpp
+++ b/src/appletally/config/state_machine.cpp
@@ -1,4 +1,4 @@
-// Applying commands. Each handler works on a candidate and commits it only after validate(), so that a refused
+// Applies commands. Each handler modifies a candidate, which is committed only after validate(), so that a refused
 // command changes nothing but the table of outcomes.
 #include "appletally/config/state_machine.h"
 
@@ -15,9 +15,9 @@
 
 namespace {
 
-    const char* const byControl = "control";
+    const char* const controlAuthor = "control";
 
-    // What a command would make of the state.
+    // The parts of the state that a command may change.
     struct Candidate {
         Snapshot snapshot;
         std::map<base::ServiceName, base::UpstreamVersion> traffic;
@@ -29,8 +29,8 @@
         return { code, std::move(text), state.snapshot.version, {}, std::move(winner) };
     }
 
-    // Shares of a service as its rollout, or else the one version that has the traffic, says.
-    void layShares(Candidate& candidate)
+    // Sets the shares and the fallback version of each service from its rollout, or without one from its traffic entries.
+    void applyShares(Candidate& candidate)
     {
         for (auto& [name, service] : candidate.snapshot.services) {
             const auto it = candidate.traffic.find(name);
@@ -49,33 +49,33 @@
         }
     }
 
-    void forgetTrafficOfGone(Candidate& candidate)
+    void dropTrafficOfRemovedServices(Candidate& candidate)
     {
         const auto isGone = [&](const auto& it) { return !candidate.snapshot.services.contains(it.first); };
         std::erase_if(candidate.traffic, isGone);
         std::erase_if(candidate.previousTraffic, isGone);
     }
 
-    Candidate startFrom(const State& state) { return { state.snapshot, state.traffic, state.previousTraffic }; }
+    Candidate candidateFrom(const State& state) { return { state.snapshot, state.traffic, state.previousTraffic }; }
 
     struct Change {
         base::LogIndex index;
         base::WallTime at;
         std::string by;
-        std::string what;
+        std::string summary;
     };
 
     template <typename T>
-    void boundHistory(std::deque<T>& history, size_t maxSize)
+    void trimHistory(std::deque<T>& history, size_t maxSize)
     {
         while (history.size() > maxSize)
             history.pop_front();
     }
 
-    // The only place where the snapshot changes.
+    // The only function that changes the snapshot.
     Outcome commit(State& state, Candidate candidate, const Change& change)
     {
-        layShares(candidate);
+        applyShares(candidate);
         if (auto checked = validate(candidate.snapshot); !checked)
             return refuse(state, checked.error().code, checked.error().text);
         std::vector<std::string> lines = describeDifference(state.snapshot, candidate.snapshot, maxDifferences);
@@ -86,8 +86,8 @@
         state.snapshot = std::move(candidate.snapshot);
         state.traffic = std::move(candidate.traffic);
         state.previousTraffic = std::move(candidate.previousTraffic);
-        state.versions.push_back({ state.snapshot.version, change.at, change.by, change.what, std::move(lines) });
-        boundHistory(state.versions, maxVersionRecords);
+        state.versions.push_back({ state.snapshot.version, change.at, change.by, change.summary, std::move(lines) });
+        trimHistory(state.versions, maxVersionRecords);
         return { Code::Ok, "", state.snapshot.version, {}, {} };
     }
 
@@ -114,7 +114,7 @@
         team.changedNumber = request.number;
     }
 
-    // Two operators who read the same version: the second one would undo what the first one changed without having seen it.
+    // Of two operators who read the same version, the second would revert the first one's change without having seen it.
     std::optional<Outcome> checkConflict(const State& state, const TeamRecord& team, const OperatorRequest& request)
     {
         if (team.changedAt <= request.base)
@@ -123,9 +123,9 @@
         return refuse(state, Code::VersionConflict, text, team.changedBy);
     }
 
-    // A service's first version is only read while no version is known to have the traffic: afterwards a rollout moves it.
-    // Refused where it was edited, because passing over the edit would leave its author believing that traffic moved.
-    base::Result<void> takeOverTraffic(const State& state, const Answers& answers, const TeamRecord* before, Candidate& candidate)
+    // A service's first version is only used while no version is known to have the traffic; later only rollouts move
+    // traffic. A changed first version is refused then, because its author would expect traffic to move.
+    base::Result<void> assignInitialTraffic(const State& state, const Answers& answers, const TeamRecord* before, Candidate& candidate)
     {
         for (const ServiceAnswers& it : answers.services) {
             const auto has = candidate.traffic.find(it.name);
@@ -138,7 +138,7 @@
             if (!wasSame && !it.firstVersion.empty() && it.firstVersion != has->second)
                 return base::fail(Code::AnswersInvalid, "service " + it.name.text + ": version " + has->second.text + " has the traffic; start a rollout to change that");
         }
-        forgetTrafficOfGone(candidate);
+        dropTrafficOfRemovedServices(candidate);
         for (const auto& [id, rollout] : state.snapshot.rollouts) {
             if (!candidate.snapshot.services.contains(rollout.service))
                 return base::fail(Code::RolloutConflict, "service " + rollout.service.text + " has rollout " + id.text + " under way; stop it first");
@@ -146,8 +146,8 @@
         return base::success();
     }
 
-    // What the document brought stays beside what the teams' answers make.
-    base::Result<void> keepDocument(const State& state, Snapshot& generated)
+    // Adds the resources of the document to those generated from the teams' answers.
+    base::Result<void> addDocumentResources(const State& state, Snapshot& generated)
     {
         for (const auto& [name, text] : state.document.texts.services) {
             if (!generated.services.emplace(name, state.snapshot.services.at(name)).second)
@@ -169,13 +169,13 @@
         auto generated = generate(all);
         if (!generated)
             return generated.error();
-        Candidate out = startFrom(state);
-        if (auto kept = keepDocument(state, generated.value()); !kept)
+        Candidate out = candidateFrom(state);
+        if (auto kept = addDocumentResources(state, generated.value()); !kept)
             return kept.error();
         out.snapshot.services = std::move(generated.value().services);
         out.snapshot.routes = std::move(generated.value().routes);
         out.snapshot.timing = generated.value().timing;
-        if (auto taken = takeOverTraffic(state, answers, before, out); !taken)
+        if (auto taken = assignInitialTraffic(state, answers, before, out); !taken)
             return taken.error();
         return out;
     }
@@ -215,7 +215,7 @@
         return out;
     }
 
-    // Empty where the command may start its rollout.
+    // Empty: the rollout may start.
     std::optional<Outcome> checkStart(const State& state, const TeamRecord* team, const StartRollout& command)
     {
         if (!team)
@@ -245,7 +245,7 @@
         if (auto refused = checkStart(state, team, command))
             return *refused;
         const NewVersionAnswers& wanted = answersOf(*team, command.service).newVersions;
-        Candidate candidate = startFrom(state);
+        Candidate candidate = candidateFrom(state);
         base::UpstreamVersion& from = candidate.traffic[command.service];
         if (from.empty())
             from = command.from;
@@ -260,7 +260,7 @@
         return out;
     }
 
-    // Ends a rollout: to `to` where it completed, else back to `from`.
+    // How a rollout ends: all traffic goes to `to` if it completed, otherwise back to `from`.
     struct Ending {
         RolloutEnd end;
         std::string by;
@@ -271,7 +271,7 @@
     Outcome endRollout(State& state, base::LogIndex index, const base::RolloutId& id, const Ending& ending)
     {
         const Rollout rollout = state.snapshot.rollouts.at(id);
-        Candidate candidate = startFrom(state);
+        Candidate candidate = candidateFrom(state);
         candidate.snapshot.rollouts.erase(id);
         candidate.traffic[rollout.service] = ending.end == RolloutEnd::Completed ? rollout.to : rollout.from;
         if (ending.end == RolloutEnd::Completed)
@@ -284,13 +284,13 @@
         if (ending.end == RolloutEnd::Completed)
             ended.share = { 1000 };
         state.ended.push_back({ ended, ending.end, ending.by, ending.reason, run.startedIn, out.version, run.startedAt, ending.at });
-        boundHistory(state.ended, maxRolloutRecords);
+        trimHistory(state.ended, maxRolloutRecords);
         state.running.erase(id);
         out.rollout = id;
         return out;
     }
 
-    // Empty where the rollout runs.
+    // Empty: the rollout is running.
     std::optional<Outcome> checkRuns(const State& state, const base::RolloutId& id)
     {
         if (state.snapshot.rollouts.contains(id))
@@ -301,7 +301,7 @@
         return refuse(state, Code::RolloutUnknown, "rollout " + id.text + " was " + endName(it->end) + " in version " + std::to_string(it->endedIn.value));
     }
 
-    // Without a look at the base version: whoever stops a rollout does so whatever else was changed meanwhile.
+    // The base version is not checked: a stop is valid whatever else has changed in the meantime.
     Outcome run(State& state, base::LogIndex index, const StopRollout& command)
     {
         if (auto refused = checkRuns(state, command.rollout))
@@ -329,10 +329,10 @@
             return *refused;
         if (command.to == command.from)
             return { Code::Ok, "nothing changes", state.snapshot.version, command.rollout, {} };
-        Candidate candidate = startFrom(state);
+        Candidate candidate = candidateFrom(state);
         candidate.snapshot.rollouts.at(command.rollout).share = command.to;
-        const std::string what = "rollout " + command.rollout.text + " at " + std::to_string(command.to.value) + " per mille" + (command.reason.empty() ? "" : ": " + command.reason);
-        Outcome out = commit(state, std::move(candidate), { index, command.at, byControl, what });
+        const std::string summary = "rollout " + command.rollout.text + " at " + std::to_string(command.to.value) + " per mille" + (command.reason.empty() ? "" : ": " + command.reason);
+        Outcome out = commit(state, std::move(candidate), { index, command.at, controlAuthor, summary });
         if (out.code == Code::Ok)
             state.running.at(command.rollout).shareSetAt = command.at;
         out.rollout = command.rollout;
@@ -343,14 +343,14 @@
     {
         if (auto refused = checkRuns(state, command.rollout))
             return *refused;
-        return endRollout(state, index, command.rollout, { RolloutEnd::RolledBack, byControl, command.reason, command.at });
+        return endRollout(state, index, command.rollout, { RolloutEnd::RolledBack, controlAuthor, command.reason, command.at });
     }
 
     Outcome run(State& state, base::LogIndex index, const CompleteRollout& command)
     {
         if (auto refused = checkShare(state, command.rollout, command.from))
             return *refused;
-        return endRollout(state, index, command.rollout, { RolloutEnd::Completed, byControl, command.reason, command.at });
+        return endRollout(state, index, command.rollout, { RolloutEnd::Completed, controlAuthor, command.reason, command.at });
     }
 
     Outcome run(State& state, base::LogIndex index, const SetKeepers& command)
@@ -360,9 +360,9 @@
             return refuse(state, Code::VersionConflict, "keeper set " + std::to_string(has.number.value) + (has.previous.empty() ? " is agreed" : " is not finished yet"));
         if (command.members.empty())
             return refuse(state, Code::AnswersInvalid, "a keeper set needs members");
-        Candidate candidate = startFrom(state);
+        Candidate candidate = candidateFrom(state);
         candidate.snapshot.keepers = { { has.number.value + 1 }, command.members, has.members };
-        return commit(state, std::move(candidate), { index, command.at, byControl, "keeper set " + std::to_string(has.number.value + 1) });
+        return commit(state, std::move(candidate), { index, command.at, controlAuthor, "keeper set " + std::to_string(has.number.value + 1) });
     }
 
     Outcome run(State& state, base::LogIndex index, const FinishKeeperChange& command)
@@ -370,18 +370,18 @@
         const KeeperSet& has = state.snapshot.keepers;
         if (has.number != command.number || has.previous.empty())
             return refuse(state, Code::VersionConflict, "keeper set " + std::to_string(has.number.value) + " has no change to finish");
-        Candidate candidate = startFrom(state);
+        Candidate candidate = candidateFrom(state);
         candidate.snapshot.keepers.previous.clear();
-        return commit(state, std::move(candidate), { index, command.at, byControl, "keeper set " + std::to_string(has.number.value) + " alone" });
+        return commit(state, std::move(candidate), { index, command.at, controlAuthor, "keeper set " + std::to_string(has.number.value) + " alone" });
     }
 
     // --- Documents ---
 
-    // Puts new and changed parts in, takes gone ones out. False: a name belongs to a team's answers.
+    // Inserts new and changed parts and erases removed ones. False: a name belongs to a team's answers.
     template <typename Name, typename Value>
-    bool replaceParts(const std::map<Name, std::string>& owned, std::map<Name, Value>& parts, const std::vector<Name>& gone, const std::vector<Value>& changed)
+    bool replaceParts(const std::map<Name, std::string>& owned, std::map<Name, Value>& parts, const std::vector<Name>& removed, const std::vector<Value>& changed)
     {
-        for (const Name& it : gone) {
+        for (const Name& it : removed) {
             if (owned.contains(it))
                 parts.erase(it);
         }
@@ -393,48 +393,48 @@
         return true;
     }
 
-    // Empty where it may be applied.
+    // Empty: the document may be applied.
     std::optional<Outcome> checkDocument(const State& state, const DocumentId& id)
     {
         if (wasAccepted(state.document, id))
-            return Outcome { Code::Ok, "accepted before", state.snapshot.version, {}, {} };
+            return Outcome { Code::Ok, "already accepted", state.snapshot.version, {}, {} };
         const DocumentNumber current = state.document.current.number;
         if (id.base != current)
-            return refuse(state, Code::VersionConflict, "document " + std::to_string(current.value) + " is in force, not " + std::to_string(id.base.value));
+            return refuse(state, Code::VersionConflict, "the current document is " + std::to_string(current.value) + ", not " + std::to_string(id.base.value));
         if (id.number <= current)
-            return refuse(state, Code::AnswersInvalid, "document " + std::to_string(id.number.value) + " is not above " + std::to_string(current.value) + ", which is in force");
+            return refuse(state, Code::AnswersInvalid, "document " + std::to_string(id.number.value) + " is not above " + std::to_string(current.value) + ", the current one");
         return {};
     }
 
     template <typename Name, typename Part>
-    void keepTexts(std::map<Name, std::string>& texts, const std::vector<Name>& gone, const std::vector<Part>& changed, const Name& (*nameOf)(const Part&))
+    void updateTexts(std::map<Name, std::string>& texts, const std::vector<Name>& removed, const std::vector<Part>& changed, const Name& (*nameOf)(const Part&))
     {
-        for (const Name& it : gone)
+        for (const Name& it : removed)
             texts.erase(it);
         for (const Part& it : changed)
             texts[nameOf(it)] = it.text;
     }
 
-    void keepDocumentRecord(DocumentRecord& record, const SubmitDocument& command)
+    void updateDocumentRecord(DocumentRecord& record, const SubmitDocument& command)
     {
         const DocumentChange& change = command.change;
-        keepTexts<base::RouteName, DocumentRoute>(record.texts.routes, change.removedRoutes, change.routes, [](const DocumentRoute& it) -> const base::RouteName& { return it.route.name; });
-        keepTexts<base::ServiceName, DocumentService>(record.texts.services, change.removedServices, change.services, [](const DocumentService& it) -> const base::ServiceName& { return it.service.name; });
+        updateTexts<base::RouteName, DocumentRoute>(record.texts.routes, change.removedRoutes, change.routes, [](const DocumentRoute& it) -> const base::RouteName& { return it.route.name; });
+        updateTexts<base::ServiceName, DocumentService>(record.texts.services, change.removedServices, change.services, [](const DocumentService& it) -> const base::ServiceName& { return it.service.name; });
         record.texts.others = change.others;
         record.current = command.id;
         record.accepted.push_back(command.id);
-        boundHistory(record.accepted, maxDocumentIds);
+        trimHistory(record.accepted, maxDocumentIds);
     }
 
-    // A rollout of a service that a document takes out has nothing left to move.
-    void endRolloutsOf(State& state, const Outcome& out, const std::vector<base::RolloutId>& ids, base::WallTime at)
+    // Rollouts of services that a document removes have no traffic to move any more.
+    void recordOrphanedRollouts(State& state, const Outcome& out, const std::vector<base::RolloutId>& ids, base::WallTime at)
     {
         for (const base::RolloutId& id : ids) {
             const RunningRollout& run = state.running.at(id);
             Rollout ended;
             ended.id = id;
             state.ended.push_back({ ended, RolloutEnd::Stopped, "document", "its service was taken out", run.startedIn, out.version, run.startedAt, at });
-            boundHistory(state.ended, maxRolloutRecords);
+            trimHistory(state.ended, maxRolloutRecords);
             state.running.erase(id);
         }
     }
@@ -443,7 +443,7 @@
     {
         if (auto decided = checkDocument(state, command.id))
             return *decided;
-        Candidate candidate = startFrom(state);
+        Candidate candidate = candidateFrom(state);
         std::vector<Route> routes;
         for (const DocumentRoute& it : command.change.routes)
             routes.push_back(it.route);
@@ -454,33 +454,33 @@
         if (!replaceParts(owned.routes, candidate.snapshot.routes, command.change.removedRoutes, routes) || !replaceParts(owned.services, candidate.snapshot.services, command.change.removedServices, services))
             return refuse(state, Code::AnswersInvalid, "a name of the document belongs to a team's answers");
         candidate.snapshot.callerLimits = command.change.limits;
-        std::vector<base::RolloutId> orphans;
+        std::vector<base::RolloutId> orphaned;
         for (const auto& [id, rollout] : state.snapshot.rollouts) {
             if (!candidate.snapshot.services.contains(rollout.service))
-                orphans.push_back(id);
+                orphaned.push_back(id);
         }
-        for (const base::RolloutId& id : orphans)
+        for (const base::RolloutId& id : orphaned)
             candidate.snapshot.rollouts.erase(id);
-        forgetTrafficOfGone(candidate);
+        dropTrafficOfRemovedServices(candidate);
         Outcome out = commit(state, std::move(candidate), { index, command.at, "document", "document " + std::to_string(command.id.number.value) });
         if (out.code != Code::Ok)
             return out;
-        endRolloutsOf(state, out, orphans, command.at);
-        keepDocumentRecord(state.document, command);
+        recordOrphanedRollouts(state, out, orphaned, command.at);
+        updateDocumentRecord(state.document, command);
         return out;
     }
 
-    // A rollout to the same version that runs, or ended so lately that the request for it may still be resent.
-    const base::RolloutId* sameMove(const State& state, const MoveTraffic& command)
+    // A rollout to the same version that is running, or ended so recently that its request may still be resent.
+    const base::RolloutId* findSameMove(const State& state, const MoveTraffic& command)
     {
         for (const auto& [id, rollout] : state.snapshot.rollouts) {
             if (rollout.service == command.service && rollout.to == command.to)
                 return &id;
         }
-        constexpr base::Duration resentWithin { 10'000 }; // lost answers are resent for a few seconds
+        constexpr base::Duration maxResendDelay { 10'000 }; // requests with lost answers are resent for a few seconds
         for (auto it = state.ended.rbegin(); it != state.ended.rend(); ++it) {
             if (it->rollout.service == command.service)
-                return it->rollout.to == command.to && command.at - it->startedAt < command.within + resentWithin ? &it->rollout.id : nullptr;
+                return it->rollout.to == command.to && command.at - it->startedAt < command.within + maxResendDelay ? &it->rollout.id : nullptr;
         }
         return nullptr;
     }
@@ -489,13 +489,13 @@
     {
         if (!state.snapshot.services.contains(command.service))
             return refuse(state, Code::DanglingReference, "service " + command.service.text + " does not exist");
-        if (const base::RolloutId* same = sameMove(state, command))
-            return { Code::Ok, "asked for before", state.snapshot.version, *same, {} };
+        if (const base::RolloutId* same = findSameMove(state, command))
+            return { Code::Ok, "already requested", state.snapshot.version, *same, {} };
         for (const auto& [id, rollout] : state.snapshot.rollouts) {
             if (rollout.service == command.service)
                 return refuse(state, Code::RolloutConflict, "rollout " + id.text + " is under way");
         }
-        Candidate candidate = startFrom(state);
+        Candidate candidate = candidateFrom(state);
         base::UpstreamVersion& from = candidate.traffic[command.service];
         if (from.empty() || from == command.to)
             from = command.from;
@@ -517,14 +517,14 @@
         if (!nameIsValid(request.by.text) || request.number.value == 0)
             return refuse(state, Code::AnswersInvalid, "an operator needs a name, and numbers start at 1");
         const uint64_t hash = requestHash(command);
-        if (auto answer = answerFromTable(state, request, hash))
+        if (auto answer = findStoredAnswer(state, request, hash))
             return *answer;
         const bool isStop = std::holds_alternative<StopRollout>(command);
         std::optional<Outcome> out = isStop ? std::nullopt : checkBase(state, request);
         if (!out)
             out = std::visit([&](const auto& it) { return run(state, index, it); }, command);
         out->text = sanitizedText(out->text);
-        keepOutcome(state, request, hash, *out);
+        storeOutcome(state, request, hash, *out);
         return *out;
     }
 
--- a/tests/config_endpoints_fuzz_test.cpp
+++ b/tests/config_endpoints_fuzz_test.cpp
@@ -1,5 +1,6 @@
-// Endpoint records between three writers, two relays and a node's mirror, against maps: records cross, double and get
-// lost, relays and writers restart, the node changes its relay, and time passes. Seeds are fixed by tests/main.cpp.
+// Endpoint records between three writers, two relays and a node's mirror, compared with a model of maps: records are
+// reordered, duplicated and lost, relays and writers restart, the node switches its relay, and time passes. Seeds are
+// fixed by tests/main.cpp.
 #include "config_fuzz_step.h"
 
 #include "appletally/config/endpoint_mirror.h"
@@ -13,24 +14,24 @@
 
 namespace {
 
-constexpr int hostCount = 3; // no more than expire at once without a hold
+constexpr int hostCount = 3; // at most the number that may expire at once without a pause
 constexpr int relayCount = 2;
 
-using Age = std::pair<uint64_t, uint64_t>; // incarnation, sequence
+using Revision = std::pair<uint64_t, uint64_t>; // incarnation, sequence
 
 struct Record {
-    Age age { 0, 0 };
+    Revision revision { 0, 0 };
     int state = 0;
     int service = 0;
-    uint64_t beat = 0;
+    uint64_t heartbeat = 0;
 };
 
-// The oracle's view of one record at one relay.
-struct Known {
+// The expected state of one record at one relay.
+struct RelayRecord {
     Record record;
     int64_t renewed = 0;
-    bool ranOut = false;
-    bool gone() const { return ranOut || record.state == static_cast<int>(EndpointState::Gone); }
+    bool expired = false;
+    bool gone() const { return expired || record.state == static_cast<int>(EndpointState::Gone); }
 };
 
 struct EndpointsModel {
@@ -39,15 +40,15 @@
         Renew,
         Deliver,
         Drop,
-        Pass,
+        PassTime,
         Expire,
         RestartRelay,
         Exchange,
-        Ask,
-        Answer,
+        RequestChanges,
+        ReceiveChanges,
         Sync,
-        Switch,
-        DropDoubted };
+        SwitchRelay,
+        ExpireUnconfirmed };
     static constexpr int kinds = 14;
     static const char* kindName(int kind)
     {
@@ -55,84 +56,84 @@
         return names[kind];
     }
 
-    struct Flight {
+    struct Message {
         int host = 0;
         Record record;
         bool renewal = false;
     };
 
     Record writers[hostCount];
-    std::map<std::pair<int, Age>, Record> published;
-    std::vector<Flight> flying;
-    std::map<int, Known> relays[relayCount];
+    std::map<std::pair<int, Revision>, Record> published;
+    std::vector<Message> inFlight;
+    std::map<int, RelayRecord> relays[relayCount];
     uint64_t relayIds[relayCount] = { 1, 2 };
     uint64_t nextId = 3;
     int64_t now = 1;
 
     void announce(int host)
     {
-        published[{ host, writers[host].age }] = writers[host];
-        flying.push_back({ host, writers[host], false });
+        published[{ host, writers[host].revision }] = writers[host];
+        inFlight.push_back({ host, writers[host], false });
     }
 
-    void put(int relay, int host, const Record& record, uint64_t beat)
+    void put(int relay, int host, const Record& record, uint64_t heartbeat)
     {
         auto [it, isNew] = relays[relay].try_emplace(host);
-        Known& known = it->second;
-        if (!isNew && record.age == known.record.age)
-            return takeBeat(known, beat);
-        if (!isNew && record.age < known.record.age)
+        RelayRecord& relayRecord = it->second;
+        if (!isNew && record.revision == relayRecord.record.revision)
+            return applyHeartbeat(relayRecord, heartbeat);
+        if (!isNew && record.revision < relayRecord.record.revision)
             return;
-        known = { record, now, false };
-        known.record.beat = beat;
+        relayRecord = { record, now, false };
+        relayRecord.record.heartbeat = heartbeat;
     }
 
-    void takeBeat(Known& known, uint64_t beat)
+    void applyHeartbeat(RelayRecord& relayRecord, uint64_t heartbeat)
     {
-        if (beat <= known.record.beat || known.record.state == static_cast<int>(EndpointState::Gone))
+        if (heartbeat <= relayRecord.record.heartbeat || relayRecord.record.state == static_cast<int>(EndpointState::Gone))
             return;
-        known.record.beat = beat;
-        known.renewed = now;
-        known.ranOut = false;
+        relayRecord.record.heartbeat = heartbeat;
+        relayRecord.renewed = now;
+        relayRecord.expired = false;
     }
 
-    void deliver(const Flight& it, int relay)
+    void deliver(const Message& it, int relay)
     {
-        const auto known = relays[relay].find(it.host);
+        const auto relayRecord = relays[relay].find(it.host);
         if (!it.renewal)
-            put(relay, it.host, it.record, it.record.beat);
-        else if (known != relays[relay].end() && known->second.record.age == it.record.age)
-            takeBeat(known->second, it.record.beat);
+            put(relay, it.host, it.record, it.record.heartbeat);
+        else if (relayRecord != relays[relay].end() && relayRecord->second.record.revision == it.record.revision)
+            applyHeartbeat(relayRecord->second, it.record.heartbeat);
     }
 
     void expire(int relay)
     {
         for (auto it = relays[relay].begin(); it != relays[relay].end();) {
-            Known& known = it->second;
-            if (!known.gone() && now - known.renewed >= endpointLifetime.ms) {
-                known.ranOut = true;
-                known.renewed = now;
+            RelayRecord& relayRecord = it->second;
+            if (!relayRecord.gone() && now - relayRecord.renewed >= endpointLifetime.ms) {
+                relayRecord.expired = true;
+                relayRecord.renewed = now;
             }
-            const bool old = known.gone() && now - known.renewed >= tombstoneLifetime.ms;
+            const bool old = relayRecord.gone() && now - relayRecord.renewed >= tombstoneLifetime.ms;
             it = old ? relays[relay].erase(it) : std::next(it);
         }
     }
 
     void exchange(int from, int to)
     {
-        for (const auto& [host, known] : std::map(relays[from])) {
-            put(to, host, known.record, 0);
-            if (!known.gone() && relays[to].at(host).record.age == known.record.age)
-                takeBeat(relays[to].at(host), known.record.beat);
+        for (const auto& [host, relayRecord] : std::map(relays[from])) {
+            put(to, host, relayRecord.record, 0);
+            if (!relayRecord.gone() && relays[to].at(host).record.revision == relayRecord.record.revision)
+                applyHeartbeat(relays[to].at(host), relayRecord.record.heartbeat);
         }
     }
 
     void write(const Step& it, Record& writer)
     {
         if (it.kind == RestartWriter)
-            writer = { { writer.age.first + 1, 1 }, 0, it.b % 2, 1 };
+            writer = { { writer.revision.first + 1, 1 }, 0, it.b % 2, 1 };
         else
-            writer = { { std::max<uint64_t>(writer.age.first, 1), writer.age.second + 1 }, it.b % 4, it.c % 2, 1 };
+            writer = { { std::max<uint64_t>(writer.revision.first, 1), writer.revision.second + 1 }, it.b % 4, it.c % 2, 1 };
         announce(it.a % hostCount);
     }
 
@@ -142,14 +143,14 @@
         const int relay = it.b % relayCount;
         if (it.kind == Announce || it.kind == RestartWriter) {
             write(it, writers[host]);
-        } else if (it.kind == Renew && writers[host].age.second > 0) {
-            ++writers[host].beat;
-            flying.push_back({ host, writers[host], true });
-        } else if (it.kind == Deliver && !flying.empty()) {
-            deliver(flying[static_cast<size_t>(it.a) % flying.size()], relay);
-        } else if (it.kind == Drop && !flying.empty()) {
-            flying.erase(flying.begin() + it.a % static_cast<int>(flying.size()));
-        } else if (it.kind == Pass) {
+        } else if (it.kind == Renew && writers[host].revision.second > 0) {
+            ++writers[host].heartbeat;
+            inFlight.push_back({ host, writers[host], true });
+        } else if (it.kind == Deliver && !inFlight.empty()) {
+            deliver(inFlight[static_cast<size_t>(it.a) % inFlight.size()], relay);
+        } else if (it.kind == Drop && !inFlight.empty()) {
+            inFlight.erase(inFlight.begin() + it.a % static_cast<int>(inFlight.size()));
+        } else if (it.kind == PassTime) {
             now += it.a * 10;
         } else if (it.kind == Expire) {
             expire(relay);
@@ -168,19 +169,19 @@
     out.host = { "h" + std::to_string(host) };
     out.service = { "s" + std::to_string(it.service) };
     out.state = static_cast<EndpointState>(it.state);
-    out.incarnation = { it.age.first };
-    out.sequence = { it.age.second };
+    out.incarnation = { it.revision.first };
+    out.sequence = { it.revision.second };
     return out;
 }
 
-Age ageOf(const Endpoint& it) { return { it.incarnation.value, it.sequence.value }; }
+Revision revisionOf(const Endpoint& it) { return { it.incarnation.value, it.sequence.value }; }
 
 struct EndpointsSut {
     EndpointRegistry registries[relayCount];
     EndpointMirror mirror;
     int linked = 0;
     Time linkedSince;
-    std::vector<EndpointsDelta> answers; // on their way to the node, from any relay that it was linked to
+    std::vector<EndpointsDelta> deltas; // on their way to the node, from any relay that it was linked to
 
     EndpointsSut()
     {
@@ -188,13 +189,13 @@
         registries[1].id = 2;
     }
 
-    void deliver(const EndpointsModel::Flight& it, int relay, Time now)
+    void deliver(const EndpointsModel::Message& it, int relay, Time now)
     {
         const base::HostId host { "h" + std::to_string(it.host) };
         if (it.renewal)
-            renew(registries[relay], { host, { it.record.age.first }, { it.record.age.second }, it.record.beat }, now);
+            renew(registries[relay], { host, { it.record.revision.first }, { it.record.revision.second }, it.record.heartbeat }, now);
         else
-            put(registries[relay], endpointOf(it.host, it.record), it.record.beat, now);
+            put(registries[relay], endpointOf(it.host, it.record), it.record.heartbeat, now);
     }
 
     void exchange(int from, int to, Time now)
@@ -220,46 +221,47 @@
         const EndpointRegistry& registry = registries[relay];
         RC_ASSERT(registry.entries.size() == model.relays[relay].size());
         RC_ASSERT(registry.byChange.size() == registry.entries.size());
-        for (const auto& [host, known] : model.relays[relay]) {
+        for (const auto& [host, relayRecord] : model.relays[relay]) {
             const RegistryEntry& entry = registry.entries.at({ "h" + std::to_string(host) });
-            RC_ASSERT((ageOf(entry.endpoint) == known.record.age));
-            RC_ASSERT(entry.endpoint.state == static_cast<EndpointState>(known.record.state));
-            RC_ASSERT(entry.beat == known.record.beat);
-            RC_ASSERT(entry.ranOut == known.ranOut);
+            RC_ASSERT((revisionOf(entry.endpoint) == relayRecord.record.revision));
+            RC_ASSERT(entry.endpoint.state == static_cast<EndpointState>(relayRecord.record.state));
+            RC_ASSERT(entry.heartbeat == relayRecord.record.heartbeat);
+            RC_ASSERT(entry.expired == relayRecord.expired);
         }
     }
 
-    // What the node shows is what its writer said under that age, or gone; and it never goes back to an older word.
+    // Each endpoint of the node equals the record that its writer published with that revision, or is gone, and never
+    // returns to a lower revision.
     void checkMirror(const EndpointsModel& model, const EndpointMirror& before) const
     {
         for (const auto& [host, entry] : mirror.entries) {
             const int n = host.text[1] - '0';
-            const auto said = model.published.find({ n, ageOf(entry.endpoint) });
-            RC_ASSERT(said != model.published.end());
-            const bool asSaid = entry.endpoint.state == static_cast<EndpointState>(said->second.state) && entry.endpoint.service.text == "s" + std::to_string(said->second.service);
-            RC_ASSERT((asSaid || entry.endpoint.state == EndpointState::Gone));
+            const auto latest = model.published.find({ n, revisionOf(entry.endpoint) });
+            RC_ASSERT(latest != model.published.end());
+            const bool asPublished = entry.endpoint.state == static_cast<EndpointState>(latest->second.state) && entry.endpoint.service.text == "s" + std::to_string(latest->second.service);
+            RC_ASSERT((asPublished || entry.endpoint.state == EndpointState::Gone));
             const auto earlier = before.entries.find(host);
-            RC_ASSERT((earlier == before.entries.end() || ageOf(earlier->second.endpoint) <= ageOf(entry.endpoint)));
+            RC_ASSERT((earlier == before.entries.end() || revisionOf(earlier->second.endpoint) <= revisionOf(entry.endpoint)));
         }
     }
 
-    // Having read all that its relay has, the node knows it all, and what the relay lacks is in doubt or gone.
+    // After reading all records of its relay, the node has all of them; others are unconfirmed or gone.
     void checkSynced() const
     {
-        for (const auto& [host, known] : registries[linked].entries) {
+        for (const auto& [host, relayRecord] : registries[linked].entries) {
             const auto held = mirror.entries.find(host);
             if (held == mirror.entries.end()) { // the node dropped its tombstone before the relay did
-                RC_ASSERT((known.ranOut || known.endpoint.state == EndpointState::Gone));
+                RC_ASSERT((relayRecord.expired || relayRecord.endpoint.state == EndpointState::Gone));
                 continue;
             }
-            const Endpoint& shown = held->second.endpoint;
-            RC_ASSERT(ageOf(shown) >= ageOf(known.endpoint));
-            if (ageOf(shown) == ageOf(known.endpoint))
-                RC_ASSERT(shown.state == (known.ranOut ? EndpointState::Gone : known.endpoint.state));
+            const Endpoint& mirrored = held->second.endpoint;
+            RC_ASSERT(revisionOf(mirrored) >= revisionOf(relayRecord.endpoint));
+            if (revisionOf(mirrored) == revisionOf(relayRecord.endpoint))
+                RC_ASSERT(mirrored.state == (relayRecord.expired ? EndpointState::Gone : relayRecord.endpoint.state));
         }
         for (const auto& [host, entry] : mirror.entries) {
-            const bool known = registries[linked].entries.contains(host);
-            RC_ASSERT((known || entry.unconfirmedSince || entry.endpoint.state == EndpointState::Gone));
+            const bool relayRecord = registries[linked].entries.contains(host);
+            RC_ASSERT((relayRecord || entry.unconfirmedSince || entry.endpoint.state == EndpointState::Gone));
         }
     }
 
@@ -269,8 +271,8 @@
         const Time now { before.now };
         switch (step.kind) {
         case EndpointsModel::Deliver:
-            if (!before.flying.empty())
-                deliver(before.flying[static_cast<size_t>(step.a) % before.flying.size()], relay, now);
+            if (!before.inFlight.empty())
+                deliver(before.inFlight[static_cast<size_t>(step.a) % before.inFlight.size()], relay, now);
             break;
         case EndpointsModel::Expire:
             expire(registries[relay], now);
@@ -282,18 +284,18 @@
         case EndpointsModel::Exchange:
             exchange(relay, 1 - relay, now);
             break;
-        case EndpointsModel::Ask:
-            answers.push_back(changesSince(registries[linked], mirror.cursor, nullptr, static_cast<size_t>(step.a % 3 + 1)));
+        case EndpointsModel::RequestChanges:
+            deltas.push_back(changesSince(registries[linked], mirror.cursor, nullptr, static_cast<size_t>(step.a % 3 + 1)));
             break;
-        case EndpointsModel::Answer: // stays on its way: it may come again, and late
-            if (!answers.empty())
-                (void)applyEndpoints(mirror, answers[static_cast<size_t>(step.a) % answers.size()], now);
+        case EndpointsModel::ReceiveChanges: // stays on its way: it may come again, and late
+            if (!deltas.empty())
+                (void)applyEndpoints(mirror, deltas[static_cast<size_t>(step.a) % deltas.size()], now);
             break;
-        case EndpointsModel::Switch:
+        case EndpointsModel::SwitchRelay:
             linked = relay;
             linkedSince = now;
             break;
-        case EndpointsModel::DropDoubted:
+        case EndpointsModel::ExpireUnconfirmed:
             expireUnconfirmed(mirror, linkedSince, now);
             break;
         default:
@@ -319,9 +321,9 @@
 
 } // namespace
 
-TEST_CASE("a node's endpoints are what their writers said last, over any relay", "[config][fuzz]")
+TEST_CASE("a node's endpoints equal the latest records of their writers, over any relay", "[config][fuzz]")
 {
-    // Records cross and double on their way over two relays that restart. A caller would notice an upstream that is
-    // leaving and gets work again, or one that is back and gets none.
+    // Guards against an upstream that is leaving and gets requests again, or one that is back and gets none: records are
+    // reordered and duplicated between two relays that restart.
     CHECK(rc::check("registry and mirror against maps", fuzz::checkSteps<EndpointsModel, EndpointsSut>));
 }
--- a/tests/config_endpoints_test.cpp
+++ b/tests/config_endpoints_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint records between their writers, control's registry and a node's mirror.
+// Endpoint records between their writers, the registry of a control process and a node's mirror.
 #include "appletally/config/codec.h"
 #include "appletally/config/endpoint_mirror.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr size_t batch = 100;
+constexpr size_t batchSize = 100;
 
 Endpoint endpoint(int host, uint64_t sequence, EndpointState state, const char* service = "a")
 {
@@ -35,10 +35,10 @@
     return n;
 }
 
-void feed(EndpointMirror& mirror, const EndpointRegistry& registry, Time now)
+void synchronize(EndpointMirror& mirror, const EndpointRegistry& registry, Time now)
 {
     for (bool more = true; more;) {
-        const EndpointsDelta delta = changesSince(registry, mirror.cursor, nullptr, batch);
+        const EndpointsDelta delta = changesSince(registry, mirror.cursor, nullptr, batchSize);
         more = delta.more;
         CHECK(applyEndpoints(mirror, delta, now));
     }
@@ -46,57 +46,57 @@
 
 } // namespace
 
-TEST_CASE("a draining upstream does not become ready again through records that cross", "[config]")
+TEST_CASE("a draining upstream does not become ready again through reordered records", "[config]")
 {
-    // An upstream says "ready" and a moment later "draining"; the two cross on the way over two relays. Were the
-    // older one taken, callers would be sent to an upstream that is leaving, and their requests would be refused.
+    // Guards against rejected requests: an upstream announces "ready" and soon after "draining", two relays reorder the
+    // records, and callers are routed to the upstream that is leaving.
     EndpointRegistry registry;
     registry.id = 1;
     CHECK(put(registry, endpoint(1, 3, EndpointState::Draining), 1, { 0 }));
     CHECK_FALSE(put(registry, endpoint(1, 2, EndpointState::Ready), 9, { 0 }));
-    // A renewal of a record that never came asks for it instead of stretching the one that is held.
+    // A renewal of a missing record requests that record and does not extend the older one.
     CHECK_FALSE(renew(registry, { { "h1" }, { 1 }, { 4 }, 7 }, { 0 }));
     CHECK(put(registry, endpoint(1, 4, EndpointState::Gone), 7, { 0 }));
     EndpointMirror mirror;
-    feed(mirror, registry, { 0 });
+    synchronize(mirror, registry, { 0 });
     CHECK(mirror.entries.at({ "h1" }).endpoint.state == EndpointState::Gone);
-    // Another relay lags: its list must not bring the upstream back.
-    feed(mirror, registryOf(2, 2, { 0 }), { 1 });
+    // Another relay lags: its list must not restore the upstream.
+    synchronize(mirror, registryOf(2, 2, { 0 }), { 1 });
     CHECK(mirror.entries.at({ "h1" }).endpoint.state == EndpointState::Gone);
 }
 
-TEST_CASE("a record that is not renewed is gone, and a sign of life brings it back", "[config]")
+TEST_CASE("a record that is not renewed expires, and a new heartbeat restores it", "[config]")
 {
     EndpointRegistry registry = registryOf(4, 1, { 0 });
     EndpointMirror mirror;
-    feed(mirror, registry, { 0 });
+    synchronize(mirror, registry, { 0 });
     const Time later = Time { 0 } + endpointLifetime;
     for (int n = 1; n < 4; ++n)
         CHECK(renew(registry, { { "h" + std::to_string(n) }, { 1 }, { 1 }, 2 }, later));
     const uint64_t before = registry.lastChange;
     CHECK(expire(registry, later) == 1);
-    CHECK(registry.lastChange == before + 1); // renewals are no news for nodes
-    feed(mirror, registry, later);
+    CHECK(registry.lastChange == before + 1); // renewals are not sent to nodes
+    synchronize(mirror, registry, later);
     CHECK(readyIn(mirror) == 3);
-    // A renewal that went round over another relay is no sign of life.
+    // An old renewal that arrives late over another relay does not restore the record.
     CHECK(renew(registry, { { "h0" }, { 1 }, { 1 }, 1 }, later));
     CHECK(registry.entries.at({ "h0" }).expired);
     CHECK(renew(registry, { { "h0" }, { 1 }, { 1 }, 2 }, later));
-    feed(mirror, registry, later);
+    synchronize(mirror, registry, later);
     CHECK(readyIn(mirror) == 4);
     CHECK(renewalsSince(registry, { 0 }).size() == 4);
 }
 
-TEST_CASE("a herd of nodes that lost control is not taken out of service", "[config]")
+TEST_CASE("many nodes that lose their control links at once are not taken out of service", "[config]")
 {
-    // A switch fails between control and half of the racks. Their upstreams serve on, and callers reach them; expired
-    // all at once, the other half would get all of the load.
+    // Guards against overload: a switch fails between the control processes and half of the racks, whose upstreams are
+    // still reachable for callers. If all of them expired, the other half would get all of the load.
     EndpointRegistry registry = registryOf(20, 1, { 0 });
     const Time later = Time { 0 } + endpointLifetime;
     for (int n = 0; n < 10; ++n)
         renew(registry, { { "h" + std::to_string(n) }, { 1 }, { 1 }, 2 }, later);
     CHECK(expire(registry, later) == 0);
-    // Few at once are believed, and after the longest hold all.
+    // A few records expire at once; after the maximum pause all do.
     for (int n = 10; n < 16; ++n)
         renew(registry, { { "h" + std::to_string(n) }, { 1 }, { 1 }, 2 }, later);
     CHECK(expire(registry, later) == 4);
@@ -105,23 +105,23 @@
 
 TEST_CASE("a source that has just restarted does not empty its nodes", "[config]")
 {
-    // All control processes restart. The first one to answer knows nothing yet; a node that believed it would refuse
-    // every caller until all other nodes have announced themselves again.
+    // Guards against rejecting every caller: all control processes restart, and the first one to answer knows no
+    // endpoints until the other nodes have announced themselves again.
     EndpointMirror mirror;
-    feed(mirror, registryOf(20, 1, { 0 }), { 0 });
+    synchronize(mirror, registryOf(20, 1, { 0 }), { 0 });
     EndpointRegistry restarted = registryOf(3, 2, { 100 });
-    feed(mirror, restarted, { 100 });
+    synchronize(mirror, restarted, { 100 });
     CHECK(readyIn(mirror) == 20);
     for (int n = 3; n < 19; ++n)
         put(restarted, endpoint(n, 1, EndpointState::Ready), 1, { 4000 });
-    feed(mirror, restarted, { 4000 });
+    synchronize(mirror, restarted, { 4000 });
     CHECK(expireUnconfirmed(mirror, { 100 }, { 8099 }).empty());
     const auto dropped = expireUnconfirmed(mirror, { 100 }, { 8100 });
     REQUIRE(dropped.size() == 1);
     CHECK(dropped[0].host == base::HostId { "h19" });
 }
 
-TEST_CASE("subscribers get only their services, in batches, and hear of a host that leaves one", "[config]")
+TEST_CASE("subscribers get only their services, in batches, and learn of a host that leaves one", "[config]")
 {
     EndpointRegistry registry = registryOf(5, 1, { 0 });
     put(registry, endpoint(9, 1, EndpointState::Ready, "b"), 1, { 0 });
@@ -141,12 +141,12 @@
     CHECK(moved.endpoints[0].service == base::ServiceName { "b" });
 }
 
-TEST_CASE("a subscriber that was away while tombstones were dropped starts anew, in pages", "[config]")
+TEST_CASE("a subscriber that was disconnected while tombstones were dropped restarts its list, in pages", "[config]")
 {
-    // Without it the node would keep an upstream that left while it was away, and send it work for good.
+    // Guards against sending requests to a removed upstream forever: it left while the node was disconnected.
     EndpointRegistry registry = registryOf(9, 1, { 0 });
     EndpointMirror mirror;
-    feed(mirror, registry, { 0 });
+    synchronize(mirror, registry, { 0 });
     put(registry, endpoint(0, 2, EndpointState::Gone), 1, { 0 });
     for (int n = 1; n < 9; ++n)
         renew(registry, { { "h" + std::to_string(n) }, { 1 }, { 1 }, 2 }, { 60'000 });
--- a/tests/config_fuzz_step.h
+++ b/tests/config_fuzz_step.h
@@ -1,5 +1,5 @@
-// One shape of command for the stateful tests of config/: a kind and four numbers, which RapidCheck shrinks towards
-// zero. The model says what the numbers mean, so that a shrunk run reads as a short table.
+// The command type of the stateful tests of config/: a kind and four numbers, which RapidCheck shrinks towards zero. The
+// model interprets the numbers, so that a shrunk run prints as a short table.
 #pragma once
 
 #include <rapidcheck.h>
--- a/tests/config_fuzz_test.cpp
+++ b/tests/config_fuzz_test.cpp
@@ -1,6 +1,6 @@
-// The replicated state machine against a plain list of accepted versions, and a node against the list's contents,
-// with operators that race and resend, messages that cross, and restarts. Seeds are fixed by tests/main.cpp.
-#include "config_boot_words.h"
+// Compares the replicated state machine with a plain list of accepted versions, and a node with the contents of that
+// list, with concurrent and resending operators, reordered messages and restarts. Seeds are fixed by tests/main.cpp.
+#include "config_boot_answers.h"
 #include "config_fuzz_step.h"
 
 #include "appletally/config/codec.h"
@@ -17,8 +17,8 @@
 
 constexpr int teamCount = 2;
 
-// What somebody asked, in plain numbers. Equal fields: a resend.
-struct Asked {
+// A command in plain numbers. Equal fields: a resend.
+struct Request {
     int kind = 0;
     int by = 0;
     uint64_t number = 0;
@@ -27,10 +27,10 @@
     int value = 0; // slots, the new version, or the new share
     int from = 0; // share
     uint64_t rollout = 0; // index that started it
-    bool operator==(const Asked&) const = default;
+    bool operator==(const Request&) const = default;
 };
 
-struct Judged {
+struct Expected {
     Code code = Code::Ok;
     uint64_t version = 0;
     int winner = -1;
@@ -57,7 +57,7 @@
         Start,
         Stop,
         Share,
-        TakeItBack,
+        RollBack,
         Complete,
         Resend,
         Restore,
@@ -70,18 +70,18 @@
     }
 
     uint64_t index = 0;
-    std::vector<uint64_t> accepted { 0 }; // the oracle: versions in the order of their acceptance
-    std::vector<Asked> asked;
-    std::map<std::pair<int, uint64_t>, std::pair<Asked, Judged>> answers;
+    std::vector<uint64_t> accepted { 0 }; // expected versions in the order of their acceptance
+    std::vector<Request> requests;
+    std::map<std::pair<int, uint64_t>, std::pair<Request, Expected>> outcomes;
     Team teams[teamCount];
 
     uint64_t version() const { return accepted.back(); }
 
-    Asked read(const Step& it) const
+    Request read(const Step& it) const
     {
-        if (it.kind == Resend && !asked.empty())
-            return asked[static_cast<size_t>(it.a) % asked.size()];
-        Asked out;
+        if (it.kind == Resend && !requests.empty())
+            return requests[static_cast<size_t>(it.a) % requests.size()];
+        Request out;
         out.kind = it.kind == Resend ? Submit : it.kind;
         out.team = it.c % teamCount;
         const Team& team = teams[out.team];
@@ -107,7 +107,7 @@
         team.rollout.reset();
     }
 
-    Judged judgeSubmit(const Asked& it)
+    Expected expectSubmit(const Request& it)
     {
         Team& team = teams[it.team];
         if (team.exists && team.changedAt > it.base)
@@ -117,7 +117,7 @@
         return {};
     }
 
-    Judged judgeStart(const Asked& it)
+    Expected expectStart(const Request& it)
     {
         Team& team = teams[it.team];
         if (!team.exists)
@@ -132,7 +132,7 @@
         return {};
     }
 
-    Judged judgeRunning(const Asked& it)
+    Expected expectRunning(const Request& it)
     {
         Team& team = teams[it.team];
         if (!team.rollout || team.rollout->id != it.rollout)
@@ -149,12 +149,12 @@
         return {};
     }
 
-    Judged judgeFresh(const Asked& it)
+    Expected expectNew(const Request& it)
     {
         if (it.kind <= Start && it.base > version())
             return { Code::UnknownVersion, version() };
-        Judged out = it.kind == Submit ? judgeSubmit(it) : it.kind == Start ? judgeStart(it)
-                                                                            : judgeRunning(it);
+        Expected out = it.kind == Submit ? expectSubmit(it) : it.kind == Start ? expectStart(it)
+                                                                               : expectRunning(it);
         if (out.code != Code::Ok || out.version != 0)
             return out;
         accepted.push_back(index);
@@ -165,16 +165,16 @@
         return { Code::Ok, index };
     }
 
-    Judged judge(const Asked& it)
+    Expected expect(const Request& it)
     {
         ++index;
         if (it.kind > Stop)
-            return judgeFresh(it);
-        const auto answer = answers.find({ it.by, it.number });
-        if (answer != answers.end())
-            return answer->second.first == it ? answer->second.second : Judged { Code::RequestNumberReused, version() };
-        const Judged out = judgeFresh(it);
-        answers[{ it.by, it.number }] = { it, out };
+            return expectNew(it);
+        const auto answer = outcomes.find({ it.by, it.number });
+        if (answer != outcomes.end())
+            return answer->second.first == it ? answer->second.second : Expected { Code::RequestNumberReused, version() };
+        const Expected out = expectNew(it);
+        outcomes[{ it.by, it.number }] = { it, out };
         return out;
     }
 
@@ -182,9 +182,9 @@
     {
         if (step.kind == Restore || step.kind == OldEntry)
             return;
-        const Asked it = read(step);
-        judge(it);
-        asked.push_back(it);
+        const Request it = read(step);
+        expect(it);
+        requests.push_back(it);
     }
 };
 
@@ -192,7 +192,7 @@
 
 std::string serviceOf(int team) { return "s" + std::to_string(team); }
 
-Command commandOf(const Asked& it, int64_t at)
+Command commandOf(const Request& it, int64_t at)
 {
     const std::string team = std::to_string(it.team);
     const OperatorRequest request { { operators[it.by] }, { it.number }, { it.base }, { at } };
@@ -206,7 +206,7 @@
         return StopRollout { request, rollout, "asked" };
     case OperatorsModel::Share:
         return SetShare { rollout, { it.from }, { it.value }, "step", { at } };
-    case OperatorsModel::TakeItBack:
+    case OperatorsModel::RollBack:
         return RollBackRollout { rollout, { 0 }, "bad", { at } };
     default:
         return CompleteRollout { rollout, { it.from }, "good", { at } };
@@ -258,14 +258,14 @@
         if (step.kind == OperatorsModel::Restore)
             return restore();
         if (step.kind == OperatorsModel::OldEntry) {
-            if (before.index > 0 && !before.asked.empty())
-                RC_ASSERT(apply(state, { before.index }, commandOf(before.asked.back(), 0)).code == Code::VersionTooOld);
+            if (before.index > 0 && !before.requests.empty())
+                RC_ASSERT(apply(state, { before.index }, commandOf(before.requests.back(), 0)).code == Code::VersionTooOld);
             return compare(before);
         }
         OperatorsModel after = before;
-        const Asked asked = before.read(step);
-        const Judged expected = after.judge(asked);
-        const Outcome got = apply(state, { after.index }, encode(commandOf(asked, static_cast<int64_t>(after.index))));
+        const Request request = before.read(step);
+        const Expected expected = after.expect(request);
+        const Outcome got = apply(state, { after.index }, encode(commandOf(request, static_cast<int64_t>(after.index))));
         RC_ASSERT(got.code == expected.code);
         RC_ASSERT(got.version.value == expected.version);
         RC_ASSERT(got.winner.text == (expected.winner < 0 ? "" : operators[expected.winner]));
@@ -282,8 +282,8 @@
         Deliver,
         Drop,
         Restart,
-        AskVoter,
-        HearVoter };
+        RequestAnswer,
+        ReceiveAnswer };
     static constexpr int kinds = 9;
     static const char* kindName(int kind)
     {
@@ -294,21 +294,21 @@
     struct Message {
         size_t from = 0;
         size_t to = 0;
-        bool whole = false;
+        bool isSnapshot = false;
     };
-    struct Word {
+    struct VoterAnswer {
         size_t voter = 0;
         size_t recorded = 0;
     };
 
-    std::vector<std::map<int, int>> contents { {} }; // the oracle: slots by service, for each version
-    size_t recorded[3] = {}; // by the voters' disks
-    std::vector<Message> flying;
-    std::vector<Word> words; // asked since the last restart
+    std::vector<std::map<int, int>> contents { {} }; // expected slots by service, for each version
+    size_t recorded[3] = {}; // version on each voter's disk
+    std::vector<Message> inFlight;
+    std::vector<VoterAnswer> voterAnswers; // requested since the last restart
     size_t held = 0;
-    std::map<size_t, size_t> heard; // voter to its word
-    size_t inForce = 0;
-    size_t highestEver = 0; // in force at any time, over all restarts
+    std::map<size_t, size_t> received; // voter to its answer
+    size_t applied = 0;
+    size_t highestApplied = 0; // highest version ever applied, over all restarts
 
     size_t released() const
     {
@@ -317,19 +317,19 @@
         return it[1];
     }
 
-    void settle()
+    void updateApplied()
     {
-        size_t floor = 0;
-        for (const auto& [voter, version] : heard)
-            floor = std::max(floor, version);
-        if (inForce > 0 || (heard.size() >= 2 && held >= floor))
-            inForce = held;
-        highestEver = std::max(highestEver, inForce);
+        size_t minVersion = 0;
+        for (const auto& [voter, version] : received)
+            minVersion = std::max(minVersion, version);
+        if (applied > 0 || (received.size() >= 2 && held >= minVersion))
+            applied = held;
+        highestApplied = std::max(highestApplied, applied);
     }
 
     void deliver(const Message& it)
     {
-        if (it.to > held && (it.whole || it.from == held))
+        if (it.to > held && (it.isSnapshot || it.from == held))
             held = it.to;
     }
 
@@ -354,34 +354,34 @@
             break;
         case SendDelta:
             if (released() > 0)
-                flying.push_back({ static_cast<size_t>(it.a) % released(), released(), false });
+                inFlight.push_back({ static_cast<size_t>(it.a) % released(), released(), false });
             break;
         case SendSnapshot:
-            flying.push_back({ 0, static_cast<size_t>(it.a) % (released() + 1), true }); // any: caches lag
+            inFlight.push_back({ 0, static_cast<size_t>(it.a) % (released() + 1), true }); // any: caches lag
             break;
         case Deliver: // stays in flight: it may come again
-            if (!flying.empty())
-                deliver(flying[static_cast<size_t>(it.a) % flying.size()]);
+            if (!inFlight.empty())
+                deliver(inFlight[static_cast<size_t>(it.a) % inFlight.size()]);
             break;
         case Drop:
-            if (!flying.empty())
-                flying.erase(flying.begin() + it.a % static_cast<int>(flying.size()));
+            if (!inFlight.empty())
+                inFlight.erase(inFlight.begin() + it.a % static_cast<int>(inFlight.size()));
             break;
         case Restart:
-            held = inForce = 0;
-            heard.clear();
-            words.clear();
+            held = applied = 0;
+            received.clear();
+            voterAnswers.clear();
             break;
-        case AskVoter:
-            words.push_back({ static_cast<size_t>(it.a % 3), recorded[it.a % 3] });
+        case RequestAnswer:
+            voterAnswers.push_back({ static_cast<size_t>(it.a % 3), recorded[it.a % 3] });
             break;
         default:
-            if (!words.empty()) {
-                const Word& word = words[static_cast<size_t>(it.a) % words.size()];
-                heard[word.voter] = std::max(heard[word.voter], word.recorded);
+            if (!voterAnswers.empty()) {
+                const VoterAnswer& voterAnswer = voterAnswers[static_cast<size_t>(it.a) % voterAnswers.size()];
+                received[voterAnswer.voter] = std::max(received[voterAnswer.voter], voterAnswer.recorded);
             }
         }
-        settle();
+        updateApplied();
     }
 };
 
@@ -401,11 +401,11 @@
 
 struct DistributionSut {
     AppliedConfig node;
-    tests::BootWords words;
+    tests::BootAnswers bootAnswers;
 
     void deliver(const DistributionModel& model, const DistributionModel::Message& it)
     {
-        if (it.whole) {
+        if (it.isSnapshot) {
             auto sent = decodeSnapshot(encode(snapshotOf(model, it.to)));
             (void)applySnapshot(node, sent.value());
             return;
@@ -414,9 +414,9 @@
         (void)applyDelta(node, sent.value());
     }
 
-    void hear(const DistributionModel::Word& it)
+    void receive(const DistributionModel::VoterAnswer& it)
     {
-        words.hear(node, { { it.voter }, { it.recorded }, tests::votersOf({ 0, 1, 2 }, 1) });
+        bootAnswers.receive(node, { { it.voter }, { it.recorded }, tests::votersOf({ 0, 1, 2 }, 1) });
     }
 
     void perform(const DistributionModel& before, const Step& step)
@@ -426,13 +426,13 @@
         const auto pick = [&](const auto& list) { return list[static_cast<size_t>(step.a) % list.size()]; };
         if (step.kind == DistributionModel::Restart)
             *this = {};
-        if (step.kind == DistributionModel::Deliver && !before.flying.empty())
-            deliver(before, pick(before.flying));
-        if (step.kind == DistributionModel::HearVoter && !before.words.empty())
-            hear(pick(before.words));
+        if (step.kind == DistributionModel::Deliver && !before.inFlight.empty())
+            deliver(before, pick(before.inFlight));
+        if (step.kind == DistributionModel::ReceiveAnswer && !before.voterAnswers.empty())
+            receive(pick(before.voterAnswers));
         const size_t version = appliedVersion(node).value;
         RC_ASSERT(version == after.applied);
-        RC_ASSERT(version == 0 || version >= after.highestEver);
+        RC_ASSERT(version == 0 || version >= after.highestApplied);
         RC_ASSERT(heldVersion(node).value == after.held);
         if (version > 0)
             RC_ASSERT((*node.applied == snapshotOf(after, version)));
@@ -443,14 +443,14 @@
 
 TEST_CASE("operators that race and resend see one list of accepted versions", "[config][fuzz]")
 {
-    // Operators race with equal numbers, lose answers and send again, and replicas are made from snapshots in between.
-    // A user would notice a change that was confirmed and is gone, or one that happened twice.
+    // Guards against confirmed changes that are lost or applied twice: operators use equal request numbers at the same
+    // time, lose answers and resend, and replicas are restored from snapshots in between.
     CHECK(rc::check("state machine against the list", fuzz::checkSteps<OperatorsModel, OperatorsSut>));
 }
 
 TEST_CASE("a node holds exactly one accepted version and never an older one again", "[config][fuzz]")
 {
-    // Deltas and snapshots cross, double and get lost, caches lag, and the node restarts with an empty memory. Callers
-    // would notice an old version as limits and shares that come back after they were replaced.
+    // Guards against limits and shares that return after they were replaced: deltas and snapshots are reordered,
+    // duplicated and lost, caches lag, and the node restarts without its state.
     CHECK(rc::check("node against the list's contents", fuzz::checkSteps<DistributionModel, DistributionSut>));
 }
--- a/tests/config_state_test.cpp
+++ b/tests/config_state_test.cpp
@@ -1,5 +1,5 @@
-// The replicated state machine, deltas and what a node applies: the cases that have names.
-#include "config_boot_words.h"
+// The replicated state machine, deltas and the versions that a node applies: single scenarios.
+#include "config_boot_answers.h"
 
 #include "appletally/config/codec.h"
 #include "appletally/config/state_machine.h"
@@ -47,8 +47,8 @@
 
 TEST_CASE("of two operators with equal numbers and the same base one wins and the other learns who", "[config]")
 {
-    // Both read version 2 and change the slots of the same service at once. Were both accepted, the second would undo
-    // the first unseen, and the crew whose limit was raised would meet refusals again.
+    // Guards against a silently reverted change: both read version 2 and change the slots of the same service at once. If
+    // both were accepted, the crew whose limit was raised would have requests rejected again.
     State state = bothDeployments();
     const std::string bytes = exampleBytes("berthgrid.json");
     const Outcome first = apply(state, { 3 }, SubmitAnswers { request("ada", 3, 2), withSlots(bytes, 12) });
@@ -59,14 +59,14 @@
     CHECK(second.winner == base::OperatorId { "ada" });
     CHECK(current(state).services.at({ "plug-control" }).slots == 12);
     CHECK(state.versions.back().differences == std::vector<std::string> { "service plug-control: slots 10 -> 12" });
-    // Another team's answers are not in the way.
+    // Another team's answers do not conflict.
     CHECK(apply(state, { 5 }, SubmitAnswers { request("eva", 1, 2), withSlots(exampleBytes("hlyab.json"), 7) }).code == Code::Ok);
 }
 
 TEST_CASE("a resend gets the first answer, also from a replica made from a snapshot", "[config]")
 {
-    // The answer to a submission is lost and the operator's tool sends it again, by then to a replica that has joined
-    // since. Judged anew it would conflict with itself, and the operator would believe that it was refused.
+    // Guards against reporting an accepted submission as refused: its answer is lost and the operator's tool resends it
+    // to a replica that has joined since. Evaluated again, it would conflict with itself.
     State state = bothDeployments();
     const SubmitAnswers command { request("ada", 3, 2), withSlots(exampleBytes("berthgrid.json"), 12) };
     const Outcome first = apply(state, { 3 }, command);
@@ -81,9 +81,9 @@
     CHECK(findOutcome(joined.value(), { "ada" }, { 3 })->outcome == first);
 }
 
-TEST_CASE("outcomes are forgotten by the stated rule and never judged anew", "[config]")
+TEST_CASE("outcomes are dropped by the documented rule and their requests never run again", "[config]")
 {
-    // A script resends a request from hours ago. Judged as fresh it would start a second rollout.
+    // Guards against a second rollout when a script resends a request that is hours old.
     State state = bothDeployments();
     const StartRollout first = start(request("ada", 3, 2), "2.0");
     const Outcome started = apply(state, { 3 }, first);
@@ -94,7 +94,7 @@
     for (uint64_t n = 5; n < 5 + maxOutcomesPerOperator; ++n, ++index)
         apply(state, { index }, StopRollout { request("ada", n, 4), { "none" }, "" });
     CHECK(apply(state, { index++ }, first).code == Code::RequestNumberReused);
-    // Enough other operators push the first one out as a whole.
+    // With enough other operators, the first one is dropped entirely.
     for (size_t n = 0; n < maxOperators; ++n, ++index)
         apply(state, { index }, StopRollout { request(("op" + std::to_string(n)).c_str(), 1, 4), { "none" }, "" });
     CHECK(state.operators.size() == maxOperators);
@@ -103,9 +103,9 @@
     CHECK(current(state).rollouts.empty());
 }
 
-TEST_CASE("a rollout goes from trial to its end, and late words of a deposed leader are refused", "[config]")
+TEST_CASE("a rollout goes from trial to its end, and late commands of a deposed leader are refused", "[config]")
 {
-    // A control process that was frozen still wants to raise the share that its successor has lowered since.
+    // Guards against a suspended control process that raises the share after its successor has lowered it.
     State state = bothDeployments();
     const Outcome started = apply(state, { 3 }, start(request("ada", 3, 2), "2.0"));
     REQUIRE(started.code == Code::Ok);
@@ -122,7 +122,7 @@
     CHECK(other.code == Code::RolloutConflict);
     CHECK(other.winner == base::OperatorId { "ada" });
 
-    SECTION("taken back, at whatever share")
+    SECTION("rolled back, at whatever share")
     {
         CHECK(apply(state, { 9 }, RollBackRollout { started.rollout, { 0 }, "failures 40 per mille over 1.0", {} }).code == Code::Ok);
         CHECK(sharesAre({ { { "1.0" }, { 1000 } } }));
@@ -153,8 +153,8 @@
     }
 }
 
-// Guards against: a service without any upstream that may serve it, while its ready ones run the version before the last rollout.
-TEST_CASE("the version that had the traffic stands in during a rollout and after its completion", "[config]")
+// Guards against a service without a usable upstream while its ready upstreams run the version before the last rollout.
+TEST_CASE("the version that had the traffic is the fallback during a rollout and after its completion", "[config]")
 {
     State state = bothDeployments();
     const auto fallbackVersion = [&] { return current(state).services.at({ "plug-control" }).fallbackVersion.text; };
@@ -174,10 +174,10 @@
     CHECK(fallbackVersion() == "1.0");
 }
 
-TEST_CASE("a keeper set changes in two steps, each named by its number", "[config]")
+TEST_CASE("a keeper set changes in two steps, each identified by its number", "[config]")
 {
-    // Two control processes change the keepers at once. Were both taken, claims granted by the first set's majority
-    // would be unknown to the second's, and a plug would be disconnected twice.
+    // Guards against disconnecting a plug twice: two control processes change the keepers at once. If both changes were
+    // accepted, claims granted by a majority of the first set would be unknown to the second set.
     State state;
     const std::vector<Keeper> one = { { { "h1" }, { "127.0.0.1", 1 } }, { { "h2" }, { "127.0.0.1", 2 } }, { { "h3" }, { "127.0.0.1", 3 } } };
     const std::vector<Keeper> two = { one[1], one[2], { { "h4" }, { "127.0.0.1", 4 } } };
@@ -193,11 +193,11 @@
     CHECK(apply(state, { 7 }, SetKeepers { { 2 }, { one[1], one[0] }, {} }).code == Code::AnswersInvalid);
 }
 
-TEST_CASE("commands come back from their bytes and anything else is refused without effect", "[config]")
+TEST_CASE("commands survive encoding and decoding, and malformed bytes are refused without effect", "[config]")
 {
-    const OperatorRequest asked = request("ada", 3, 2);
-    const Command commands[] = { SubmitAnswers { asked, "{\"a\": 1}" }, StartRollout { asked, { "a" }, {}, { "2.0" }, { 5 } },
-        StopRollout { asked, { "a-3" }, "why" }, SetShare { { "a-3" }, { 0 }, { 50 }, "", { 7 } }, RollBackRollout { { "a-3" }, { 50 }, "bad", { 7 } },
+    const OperatorRequest operatorRequest = request("ada", 3, 2);
+    const Command commands[] = { SubmitAnswers { operatorRequest, "{\"a\": 1}" }, StartRollout { operatorRequest, { "a" }, {}, { "2.0" }, { 5 } },
+        StopRollout { operatorRequest, { "a-3" }, "why" }, SetShare { { "a-3" }, { 0 }, { 50 }, "", { 7 } }, RollBackRollout { { "a-3" }, { 50 }, "bad", { 7 } },
         CompleteRollout { { "a-3" }, { 1000 }, "", { 7 } }, SetKeepers { { 1 }, { { { "h" }, { "127.0.0.1", 1 } } }, { 7 } }, FinishKeeperChange { { 2 }, { 7 } } };
     for (const Command& it : commands) {
         const auto back = decodeCommand(encode(it));
@@ -213,10 +213,9 @@
     CHECK(apply(state, { 1 }, SetKeepers { { 0 }, { { { "h" }, { "127.0.0.1", 1 } } }, {} }).code == Code::VersionTooOld);
 }
 
-TEST_CASE("a delta fits only where it starts, and its repetition is harmless", "[config]")
+TEST_CASE("a delta applies only to its base version, and its repetition is harmless", "[config]")
 {
-    // Two deltas cross on their way. Applied in the wrong order they would leave a node with routes of one version and
-    // limits of another.
+    // Guards against a node with routes of one version and limits of another: two deltas arrive in the wrong order.
     State state = bothDeployments();
     const Snapshot two = current(state);
     apply(state, { 3 }, SubmitAnswers { request("ada", 3, 2), withSlots(exampleBytes("berthgrid.json"), 12) });
@@ -243,7 +242,7 @@
     CHECK(decodeDelta("{}").error().code == Code::MessageMalformed);
 }
 
-TEST_CASE("a version that fails its check is refused whole and what is in force stays", "[config]")
+TEST_CASE("a version that fails validation is rejected as a whole and the applied version stays", "[config]")
 {
     State state = bothDeployments();
     AppliedConfig node;
@@ -258,10 +257,10 @@
     CHECK_FALSE(node.refusal.empty());
 }
 
-TEST_CASE("a restarted node waits for the word of a majority and starts no lower", "[config]")
+TEST_CASE("a restarted node waits for a majority of the voters and starts at no lower version", "[config]")
 {
-    // A rack restarts with an empty memory and reconnects to a relay that lags. Started from what the relay has, its
-    // nodes would send traffic to an upstream version that was taken back minutes ago.
+    // Guards against traffic to an upstream version that was rolled back minutes ago: a rack restarts without its state
+    // and reconnects to a relay that lags.
     State state = bothDeployments();
     Snapshot lagging = current(state);
     Snapshot recorded = lagging;
@@ -271,12 +270,12 @@
     CHECK(appliedVersion(node).value == 0);
     const consensus::Members old = tests::votersOf({ 1, 2, 3 }, 1);
     const consensus::Members members = tests::votersOf({ 2, 3, 4 }, 4);
-    tests::BootWords words;
-    words.hear(node, { { 1 }, { 2 }, old });
+    tests::BootAnswers answers;
+    answers.receive(node, { { 1 }, { 2 }, old });
     CHECK_FALSE(node.minVersion);
-    words.hear(node, { { 2 }, { 2 }, members }); // knows that replica 1 was taken out: its word counts no more
+    answers.receive(node, { { 2 }, { 2 }, members }); // knows that replica 1 was removed: its answer no longer counts
     CHECK_FALSE(node.minVersion);
-    words.hear(node, { { 4 }, { 5 }, members });
+    answers.receive(node, { { 4 }, { 5 }, members });
     REQUIRE(node.minVersion);
     CHECK(node.minVersion->value == 5);
     CHECK(appliedVersion(node).value == 0);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,4 @@
-// Questionnaire, generation, validation, codecs and route matching, by tables.
+// Questionnaire, generation, validation, codecs and route matching.
 #include "appletally/config/codec.h"
 #include "appletally/config/generate.h"
 #include "appletally/config/route_match.h"
@@ -26,7 +26,7 @@
     return answers.value();
 }
 
-Json smallest()
+Json minimalAnswers()
 {
     return Json::parse(R"({"name": "team", "weighing": "speed-and-take-back", "callers": ["crew"], "services": [
         {"name": "a", "routes": [{"name": "r", "method": "GET", "path_prefix": "/r", "callers": ["crew"]}]}]})");
@@ -43,9 +43,9 @@
 
 } // namespace
 
-TEST_CASE("the questionnaire names the path of what it refuses", "[config]")
+TEST_CASE("errors in the questionnaire report the path of the invalid value", "[config]")
 {
-    // A mistyped key that is passed over leaves a donation repeatable, and a member is charged twice.
+    // Guards against charging a member twice: an ignored mistyped key would leave a donation repeatable.
     struct Row {
         const char* pointer;
         Json value;
@@ -62,25 +62,25 @@
         { "/services/0/name", "a b", "a.json: services[0].name: expected letters, digits, '.', '_' or '-', 64 at most" },
         { "/weighing", 3, "a.json: weighing: expected one of speed-and-take-back completion-and-bytes" },
     };
-    CHECK(problemOf(smallest()).empty());
+    CHECK(problemOf(minimalAnswers()).empty());
     for (const Row& it : rows) {
-        Json json = smallest();
+        Json json = minimalAnswers();
         json[Json::json_pointer(it.pointer)] = it.value;
         CHECK(problemOf(json) == it.problem);
     }
-    Json doubled = smallest();
-    doubled["services"].push_back(doubled["services"][0]);
-    CHECK(problemOf(doubled) == "a.json: services: expected service a only once");
+    Json duplicated = minimalAnswers();
+    duplicated["services"].push_back(duplicated["services"][0]);
+    CHECK(problemOf(duplicated) == "a.json: services: expected service a only once");
     CHECK_FALSE(parseAnswers("{", "a.json"));
-    const auto twice = parseAnswers(R"({"name": "t", "weighing": "speed-and-take-back", "services": [{"name": "a", "slots": 5}, {"name": "b", "slots": 5, "slots": 6}]})", "a.json");
-    REQUIRE_FALSE(twice);
-    CHECK(twice.error().text == "a.json: slots: expected this key only once");
+    const auto repeated = parseAnswers(R"({"name": "t", "weighing": "speed-and-take-back", "services": [{"name": "a", "slots": 5}, {"name": "b", "slots": 5, "slots": 6}]})", "a.json");
+    REQUIRE_FALSE(repeated);
+    CHECK(repeated.error().text == "a.json: slots: expected this key only once");
 }
 
 TEST_CASE("bytes of deeply nested lists are refused and do not end the process", "[config]")
 {
-    // A broken or hostile peer sends half a megabyte of opening brackets. A reader that calls itself for each of them
-    // runs out of stack, and with it go all requests of the process.
+    // Guards against a stack overflow that ends the process with all its requests: a faulty or hostile peer sends half a
+    // megabyte of opening brackets to a recursive parser.
     const std::string deep = std::string(400'000, '[') + std::string(400'000, ']');
     CHECK_FALSE(parseAnswers(deep, "a.json"));
     CHECK_FALSE(decodeSnapshot(deep));
@@ -112,7 +112,7 @@
     }
 }
 
-TEST_CASE("both example deployments generate closed snapshots, and the same bytes each time", "[config]")
+TEST_CASE("both example deployments generate valid snapshots, and the same bytes each time", "[config]")
 {
     const AnswersOfTeams both = { { "berthgrid", example("berthgrid.json") }, { "hlyab", example("hlyab.json") } };
     for (const auto& [name, answers] : both) {
@@ -129,9 +129,9 @@
         CHECK_FALSE(all.value().routes.at({ name }).idempotent);
 }
 
-TEST_CASE("a snapshot that is not closed is refused", "[config]")
+TEST_CASE("an invalid snapshot is rejected", "[config]")
 {
-    // A route to a service that the version lacks would answer every caller of that path with an error, on every node at once.
+    // Guards against errors for every caller of a path, on all nodes at once: its route names a missing service.
     const Snapshot good = generate(example("berthgrid.json"));
     const auto codeAfter = [&](auto change) {
         Snapshot it = good;
@@ -154,7 +154,7 @@
     CHECK(codeAfter([](Snapshot& it) { it.keepers.members = { { { "b" }, {} }, { { "a" }, {} } }; }) == Code::AnswersInvalid);
 }
 
-TEST_CASE("values come back from their bytes, and damaged bytes are refused", "[config]")
+TEST_CASE("values survive encoding and decoding, and corrupted bytes are rejected", "[config]")
 {
     Snapshot snapshot = generate(example("hlyab.json"));
     snapshot.version = { 7 };
--- a/tests/config_trace_test.cpp
+++ b/tests/config_trace_test.cpp
@@ -1,5 +1,5 @@
-// Replays recorded runs against the outcomes that they state. Each line of a trace is one JSON object.
-#include "config_boot_words.h"
+// Replays recorded runs and compares the outcomes with the recorded ones. Each line of a trace is a JSON object.
+#include "config_boot_answers.h"
 
 #include "appletally/config/codec.h"
 #include "appletally/config/state_machine.h"
@@ -56,28 +56,28 @@
 
 struct Node {
     AppliedConfig applied;
-    tests::BootWords words;
+    tests::BootAnswers answers;
 };
 
 void replayStep(Node& node, const Json& line)
 {
-    const std::string what = line.at("do");
-    if (what == "restart")
+    const std::string action = line.at("do");
+    if (action == "restart")
         node = {};
-    if (what == "snapshot")
+    if (action == "snapshot")
         (void)applySnapshot(node.applied, versionOf(line.at("to")));
-    if (what == "delta")
+    if (action == "delta")
         (void)applyDelta(node.applied, difference(versionOf(line.at("from")), versionOf(line.at("to"))));
-    if (what == "word")
-        node.words.hear(node.applied, { { line.at("voter") }, { line.at("recorded") }, tests::votersOf({ 1, 2, 3 }, 1) });
+    if (action == "word")
+        node.answers.receive(node.applied, { { line.at("voter") }, { line.at("recorded") }, tests::votersOf({ 1, 2, 3 }, 1) });
 }
 
 } // namespace
 
 TEST_CASE("a recorded race of two operators, with resends, a restart and a late control process", "[config][trace]")
 {
-    // Answers were lost on the way, so the same requests came again over other control processes; one of these had been
-    // frozen and still tried to raise a share. An operator would notice a confirmed change that is gone or came twice.
+    // Guards against confirmed changes that are lost or applied twice: answers were lost, so requests were resent over
+    // other control processes, one of which had been suspended and still tried to raise a share.
     State state;
     for (const Json& line : linesOf("config-race.trace")) {
         INFO(line.dump());
@@ -92,7 +92,7 @@
 
 TEST_CASE("a recorded restart of a node behind a source that lags", "[config][trace]")
 {
-    // The node restarts and its relay still has an older version. Callers would notice limits that were replaced.
+    // Guards against callers meeting replaced limits: the node restarts, and its relay still has an older version.
     Node node;
     for (const Json& line : linesOf("config-node.trace")) {
         INFO(line.dump());
