--- a/src/appletally/control/documents.cpp
+++ b/src/appletally/control/documents.cpp
@@ -33,7 +33,7 @@
     return leader ? leader->host : base::HostId {};
 }
 
-kj::Promise<base::Result<const config::State*>> ControlProcess::agreed()
+kj::Promise<base::Result<const config::State*>> ControlProcess::committedState()
 {
     using Answer = base::Result<const config::State*>;
     if (!m_replica || !m_leading)
--- a/src/appletally/control/process.cpp
+++ b/src/appletally/control/process.cpp
@@ -154,7 +154,7 @@
     };
     consensus::Config config;
     config.oneReplicaPerHost = findsPeers();
-    config.mostVoters = m_settings.mostVoters;
+    config.mostVoters = m_settings.maxVoters;
     m_replica = std::make_unique<ReplicaDriver>(m_timer, std::move(disk), config, std::move(hooks));
     m_replaying = true;
     m_replica->start();
--- a/src/appletally/control/process.h
+++ b/src/appletally/control/process.h
@@ -60,7 +60,7 @@
     kj::Promise<base::Result<void>> submitDocument(config::Document);
     kj::Promise<base::Result<void>> moveTraffic(config::MoveTraffic); // `from` is filled in
     // The agreed state with all that was accepted before the question; good until control returns to the loop.
-    kj::Promise<base::Result<const config::State*>> agreed();
+    kj::Promise<base::Result<const config::State*>> committedState();
 
 private:
     struct InForceWaiter {
--- a/src/appletally/control/settings.cpp
+++ b/src/appletally/control/settings.cpp
@@ -58,8 +58,8 @@
         else
             top.refuse(Code::SettingsOutOfRange, "seeds", "IP numbers with ports, such as 127.0.0.1:7000");
     }
-    out.mostVoters = static_cast<size_t>(top.integer("most_voters", 0, mostVoterLimit, 0));
-    if (out.mostVoters != 0 && (out.mostVoters < leastVoterLimit || out.mostVoters % 2 == 0))
+    out.maxVoters = static_cast<size_t>(top.integer("most_voters", 0, mostVoterLimit, 0));
+    if (out.maxVoters != 0 && (out.maxVoters < leastVoterLimit || out.maxVoters % 2 == 0))
         top.refuse(Code::SettingsOutOfRange, "most_voters", "0 for no limit, or an odd number of at least 3");
     out.firstStart = top.flag("first_start", false);
     out.claims = top.flag("claims", out.claims);
--- a/src/appletally/control/settings.h
+++ b/src/appletally/control/settings.h
@@ -30,7 +30,7 @@
     // Without a fixed list of voters: each control process is known by the address at which it listens, and finds the
     // others through these and through whoever it meets. A host that comes back with an empty folder is let in again.
     std::vector<base::Address> seeds; // not empty: voters and relays are not looked at
-    size_t mostVoters = 0; // limit on the voters; 2 f + 1 voters tolerate f losses; 0: no limit
+    size_t maxVoters = 0; // limit on the voters; 2 f + 1 voters tolerate f losses; 0: no limit
     bool firstStart = false; // the whole mesh starts for the first time: the seeds, the same everywhere, are its first voters
     bool claims = true; // false: no node keeps claims, since callers name each send anew
 
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -286,9 +286,9 @@
     REQUIRE(control);
     CHECK(control.value().settings.membership.host.text == "10.1.0.9:7380");
     CHECK(control.value().settings.firstStart);
-    CHECK(control.value().settings.mostVoters == 5);
+    CHECK(control.value().settings.maxVoters == 5);
     file["fault_tolerance"] = { { "machines", 3 } };
-    CHECK(platform::readControlFile(file.dump()).value().settings.mostVoters == 7);
+    CHECK(platform::readControlFile(file.dump()).value().settings.maxVoters == 7);
     file["bind_addresses"].erase("outbound");
     CHECK(platform::readNodeFile(file.dump()).error().text.find("bind_addresses.outbound") != std::string::npos);
     CHECK_FALSE(platform::readNodeFile("no settings"));
--- a/tests/rollout_upstreams_test.cpp
+++ b/tests/rollout_upstreams_test.cpp
@@ -43,7 +43,7 @@
         }
     }
 
-    const config::State& state() { return *control.process.agreed().wait(io.waitScope).value(); }
+    const config::State& state() { return *control.process.committedState().wait(io.waitScope).value(); }
 
     // The version that has all traffic once the rollout has ended.
     std::string moveTo(const char* version)
