--- a/src/appletally/control/boot_reads.h
+++ b/src/appletally/control/boot_reads.h
@@ -1,5 +1,5 @@
-// Asks the voters for their recorded commits, one round for all that wait: a rack of 40 nodes that starts at once costs
-// the voters as much as one node.
+// Reads the voters' recorded commit indexes, which prove where a starting node may begin. All pending reads share one
+// round, so 40 nodes that start at once cost the voters as much as one node.
 #pragma once
 
 #include "appletally/control/peer_link.h"
@@ -11,10 +11,12 @@
 
 class BootReads : public kj::TaskSet::ErrorHandler {
 public:
-    // `own`: this process's own answer, empty where it is no voter. `released`: told what the answers show to be released.
-    BootReads(kj::Timer&, std::function<std::vector<PeerLink*>()> voters, std::function<std::optional<consensus::BootAnswer>()> own, std::function<void(base::LogIndex)> released);
+    // `own`: the answer of this process, empty if it is not a voter. `onReleased` receives the released index that the
+    // answers prove.
+    BootReads(kj::Timer&, std::function<std::vector<PeerLink*>()> voters, std::function<std::optional<consensus::BootAnswer>()> own, std::function<void(base::LogIndex)> onReleased);
 
-    // The least log index to start from, proved by a majority of the voters asked after this call. NoQuorum.
+    // The minimum log index to start from, proven by a majority of voters that were queried after this call.
+    // Error: NoQuorum.
     kj::Promise<base::Result<base::LogIndex>> read();
 
     uint64_t rounds() const { return m_rounds; }
@@ -23,19 +25,19 @@
     using Waiter = kj::Own<kj::PromiseFulfiller<base::Result<base::LogIndex>>>;
 
     void taskFailed(kj::Exception&&) override { }
-    void begin();
-    void askOthers(uint64_t round);
+    void beginRound();
+    void requestFromLinkedVoters(uint64_t round);
     void addAnswer(uint64_t round, const consensus::BootAnswer&);
-    void finish(uint64_t round, const base::Result<base::LogIndex>&);
+    void finishRound(uint64_t round, const base::Result<base::LogIndex>&);
 
     kj::Timer& m_timer;
     std::function<std::vector<PeerLink*>()> m_voters;
-    std::function<std::optional<consensus::BootAnswer>()> m_own;
-    std::function<void(base::LogIndex)> m_released;
-    std::vector<consensus::BootAnswer> m_answers; // of the round under way
-    std::set<base::HostId> m_asked; // in the round under way
-    std::vector<Waiter> m_served; // by the round under way
-    std::vector<Waiter> m_waiting; // came after it began: its answers may be older than they are
+    std::function<std::optional<consensus::BootAnswer>()> m_ownAnswer;
+    std::function<void(base::LogIndex)> m_onReleased;
+    std::vector<consensus::BootAnswer> m_answers; // of the current round
+    std::set<base::HostId> m_requestedHosts; // in the current round
+    std::vector<Waiter> m_currentWaiters; // answered by the current round
+    std::vector<Waiter> m_nextWaiters; // arrived after the current round began, whose answers may predate them; answered by the next round
     bool m_running = false;
     uint64_t m_rounds = 0;
     kj::TaskSet m_tasks;
--- a/src/appletally/control/changes.cpp
+++ b/src/appletally/control/changes.cpp
@@ -1,8 +1,8 @@
-// Operators' changes on their way through a control process, and what operators read.
+// Operators' changes and reads.
 //
-// A lost answer must not make a change happen twice: an operator's request has a number, its first outcome is part of
-// the agreed state, and any voter that has applied it answers a resend from there. A voter that does not lead passes
-// fresh requests on to the one that does.
+// A change must not be applied twice because its answer was lost: each operator request has a number, its first outcome
+// is part of the replicated state, and any voter that has applied it answers a resend from there. A follower forwards
+// new requests to the leader.
 #include "appletally/base/log.h"
 #include "appletally/config/codec.h"
 #include "appletally/control/process.h"
@@ -11,20 +11,20 @@
 
 namespace {
 
-    // Until a new leader is elected; what an operator's tool waits before it tries again.
-    constexpr base::Duration electionPause { 200 };
+    // About the duration of an election; an operator's tool waits this long before it retries.
+    constexpr base::Duration electionRetryDelay { 200 };
 
-    ChangeAnswer refusal(base::Error problem) { return { std::move(problem), {}, {} }; }
+    ChangeResult failedChange(base::Error problem) { return { std::move(problem), {}, {} }; }
 
-    ChangeAnswer fromOutcome(const config::Outcome& outcome)
+    ChangeResult fromOutcome(const config::Outcome& outcome)
     {
-        ChangeAnswer out { { outcome.code, outcome.text, {} }, outcome.version, outcome.rollout.text };
+        ChangeResult out { { outcome.code, outcome.text, {} }, outcome.version, outcome.rollout.text };
         if (!outcome.winner.empty() && outcome.text.find(outcome.winner.text) == std::string::npos)
-            out.failure.text += " (" + outcome.winner.text + " came first)";
+            out.failure.text += " (" + outcome.winner.text + " changed it first)";
         return out;
     }
 
-    void stamp(config::Command& command, base::WallTime now)
+    void setTime(config::Command& command, base::WallTime now)
     {
         std::visit(
             [now](auto& it) {
@@ -38,62 +38,62 @@
 
 } // namespace
 
-kj::Promise<ChangeAnswer> ControlProcess::change(const std::string& bytes, bool forwarded)
+kj::Promise<ChangeResult> ControlProcess::submitChange(const std::string& bytes, bool forwarded)
 {
     if (!m_replica)
-        return refusal(base::fail(base::Code::NotLeader, "this is a relay; ask a voter", electionPause));
+        return failedChange(base::fail(base::Code::NotLeader, "this process is a relay; send the request to a voter", electionRetryDelay));
     auto command = config::decodeCommand(bytes);
     if (!command)
-        return refusal(command.error());
+        return failedChange(command.error());
     const config::OperatorRequest* request = config::requestOf(command.value());
     if (!request)
-        return refusal(base::fail(base::Code::MessageMalformed, "not an operator's change"));
+        return failedChange(base::fail(base::Code::MessageMalformed, "the command is not an operator's change"));
     const config::KeptOutcome* kept = config::findOutcome(m_state, request->by, request->number);
     if (kept && kept->hash == config::requestHash(command.value()))
         return fromOutcome(kept->outcome);
     if (!m_leading && forwarded)
-        return refusal(base::fail(base::Code::NotLeader, "leadership has moved on", electionPause));
-    ++m_changesUnderWay;
-    return (m_leading ? proposeHere(std::move(command.value())) : forwardToLeader(bytes)).attach(kj::defer([this] { --m_changesUnderWay; }));
+        return failedChange(base::fail(base::Code::NotLeader, "this process is not the leader", electionRetryDelay));
+    ++m_pendingChanges;
+    return (m_leading ? proposeChange(std::move(command.value())) : forwardToLeader(bytes)).attach(kj::defer([this] { --m_pendingChanges; }));
 }
 
-kj::Promise<ChangeAnswer> ControlProcess::proposeHere(config::Command command)
+kj::Promise<ChangeResult> ControlProcess::proposeChange(config::Command command)
 {
-    stamp(command, leadNow());
+    setTime(command, leaderTime());
     return m_replica->propose(config::encode(command)).then([this](base::Result<base::LogIndex> index) {
-        return index ? outcomeAt(index.value()) : refusal(index.error());
+        return index ? outcomeAt(index.value()) : failedChange(index.error());
     });
 }
 
-ChangeAnswer ControlProcess::outcomeAt(base::LogIndex index)
+ChangeResult ControlProcess::outcomeAt(base::LogIndex index)
 {
     auto it = m_outcomes.find(index);
     if (it == m_outcomes.end())
-        return refusal(base::fail(base::Code::OutcomePending, "committed, but its outcome is not at hand; resend"));
+        return failedChange(base::fail(base::Code::OutcomePending, "committed, but its outcome is not in memory; resend"));
     return fromOutcome(it->second);
 }
 
-kj::Promise<ChangeAnswer> ControlProcess::forwardToLeader(const std::string& command)
+kj::Promise<ChangeResult> ControlProcess::forwardToLeader(const std::string& command)
 {
     for (const auto& it : m_peers) {
         if (!it->up() || it->replica() != m_replica->replica().leader || it->replica().value == 0)
             continue;
-        // Whether the leader proposed it before the link ended is unknown here; the resend finds out.
+        // It is unknown whether the leader proposed the change before the link ended; a resend gets the outcome.
         return it->forward(command).catch_([](kj::Exception&& problem) {
-            return refusal(base::fail(base::Code::OutcomePending, "the leader was lost: " + inner::describe(problem), electionPause));
+            return failedChange(base::fail(base::Code::OutcomePending, "the link to the leader ended: " + inner::describe(problem), electionRetryDelay));
         });
     }
-    return refusal(base::fail(base::Code::NoQuorum, "no leader is known", electionPause));
+    return failedChange(base::fail(base::Code::NoQuorum, "no leader is known", electionRetryDelay));
 }
 
-bool ControlProcess::proposeOwn(const config::Command& command)
+bool ControlProcess::proposeInternal(const config::Command& command)
 {
-    if (!m_leading || m_ownProposal)
+    if (!m_leading || m_internalProposalPending)
         return false;
-    m_ownProposal = true;
+    m_internalProposalPending = true;
     config::Command stamped = command;
-    stamp(stamped, leadNow());
-    m_tasks->add(m_replica->propose(config::encode(stamped)).then([this](const base::Result<base::LogIndex>&) { m_ownProposal = false; }));
+    setTime(stamped, leaderTime());
+    m_tasks->add(m_replica->propose(config::encode(stamped)).then([this](const base::Result<base::LogIndex>&) { m_internalProposalPending = false; }));
     return true;
 }
 
@@ -101,7 +101,7 @@
 {
     using Answer = base::Result<void>;
     if (!m_replica || !m_leading)
-        return Answer(base::fail(base::Code::NotLeader, "ask the leader", electionPause));
+        return Answer(base::fail(base::Code::NotLeader, "only the leader handles this request", electionRetryDelay));
     if (!consensus::findMember(consensus::latestMembers(m_replica->replica()), old))
         return Answer(base::fail(base::Code::SettingsOutOfRange, "no member " + std::to_string(old.value)));
     for (const auto& it : m_peers) {
@@ -114,7 +114,7 @@
             return base::success();
         });
     }
-    return Answer(base::fail(base::Code::PeerGone, "no control process answers as replica " + std::to_string(fresh.value)));
+    return Answer(base::fail(base::Code::PeerGone, "no linked control process has replica id " + std::to_string(fresh.value)));
 }
 
 // --- Reading ---
@@ -142,26 +142,26 @@
 {
     constexpr std::string_view current = "current ";
     if (what.starts_with(current))
-        return readCurrent(what.substr(current.size()));
-    return readHere(what);
+        return readLinearizable(what.substr(current.size()));
+    return readLocal(what);
 }
 
-// Everything accepted before the question is in the answer. Told by a replica that is behind, an operator would miss a
-// change of their own, base the next one on an old version, and be refused for a conflict with themselves; so the
-// leader answers, after a majority has confirmed it.
-kj::Promise<base::Result<std::string>> ControlProcess::readCurrent(const std::string& what)
+// Linearizable read: the result includes every change accepted before the call, because only the leader answers, after a
+// majority has confirmed it. From a replica that is behind, operators would miss their own change, base the next one on
+// an old version, and have it rejected for a conflict with their own change.
+kj::Promise<base::Result<std::string>> ControlProcess::readLinearizable(const std::string& what)
 {
     using Answer = base::Result<std::string>;
     if (!m_replica || !m_leading)
-        return Answer(base::fail(base::Code::NotLeader, "ask the leader", electionPause));
+        return Answer(base::fail(base::Code::NotLeader, "only the leader handles this request", electionRetryDelay));
     return m_replica->readIndex().then([this, what](const base::Result<base::LogIndex>& index) -> Answer {
         if (!index)
             return index.error();
-        return readHere(what);
+        return readLocal(what);
     });
 }
 
-base::Result<std::string> ControlProcess::readHere(const std::string& what) const
+base::Result<std::string> ControlProcess::readLocal(const std::string& what) const
 {
     nlohmann::json out;
     if (what == "status")
@@ -175,7 +175,7 @@
     else if (what == "rollouts")
         out = rolloutsJson(m_state);
     else
-        return base::fail(base::Code::BadCommandLine, "nothing to read by the name of " + what);
+        return base::fail(base::Code::BadCommandLine, "unknown name to read: " + what);
     return out.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
@@ -206,8 +206,8 @@
     out["distributor"] = m_distributor.toJson();
     out["port"] = m_port.toJson();
     out["boot_reads"] = m_bootReads->rounds();
-    if (m_upstream)
-        out["upstream"] = m_upstream->toJson();
+    if (m_sourceClient)
+        out["upstream"] = m_sourceClient->toJson();
     out["events"] = base::recentEvents();
     return out;
 }
--- a/src/appletally/control/convergence.h
+++ b/src/appletally/control/convergence.h
@@ -1,4 +1,4 @@
-// Which version each node has in force, and for each version when the last reachable node had it.
+// Tracks which version each node has applied, and for each version when the last reachable node applied it.
 #pragma once
 
 #include "appletally/inner/rpc_wire.h"
@@ -9,31 +9,31 @@
 
 namespace appletally::control {
 
-struct NodeStanding {
+struct NodeStatus {
     base::Incarnation incarnation;
     base::ConfigVersion version;
-    base::Time heard; // a node not heard of for endpointLifetime counts as out of reach
+    base::Time lastReport; // a node without a report for endpointLifetime counts as unreachable
 };
 
-struct VersionStanding {
-    base::Time accepted; // applied here
+struct VersionStatus {
+    base::Time accepted; // when this process applied it
     std::optional<base::Time> released;
-    std::optional<base::Time> everywhere; // when the last reachable node had it in force; empty: not yet
+    std::optional<base::Time> appliedEverywhere; // when the last reachable node applied it; empty: not yet
 };
 
 struct Convergence {
-    std::map<base::HostId, NodeStanding> nodes;
-    std::map<base::ConfigVersion, VersionStanding> versions; // the newest 64
+    std::map<base::HostId, NodeStatus> nodes;
+    std::map<base::ConfigVersion, VersionStatus> versions; // the newest 64
 };
 
-void accepted(Convergence&, base::ConfigVersion, base::Time now);
-void released(Convergence&, base::ConfigVersion, base::Time now);
-void heard(Convergence&, const std::vector<inner::NodeInForce>&, base::Time now);
-void expire(Convergence&, base::Time now); // forgets nodes out of reach
+void recordAccepted(Convergence&, base::ConfigVersion, base::Time now);
+void recordReleased(Convergence&, base::ConfigVersion, base::Time now);
+void recordReports(Convergence&, const std::vector<inner::NodeInForce>&, base::Time now);
+void expireNodes(Convergence&, base::Time now); // removes unreachable nodes
 
-// How many of the nodes within reach have the version or a later one.
-size_t inForce(const Convergence&, base::ConfigVersion);
-std::vector<base::HostId> nodesBelow(const Convergence&, base::ConfigVersion); // the others
+// Number of reachable nodes that have applied the version or a later one.
+size_t countApplied(const Convergence&, base::ConfigVersion);
+std::vector<base::HostId> nodesBelow(const Convergence&, base::ConfigVersion); // reachable nodes with an older version
 nlohmann::json toJson(const Convergence&);
 
 } // namespace appletally::control
--- a/src/appletally/control/distributor.cpp
+++ b/src/appletally/control/distributor.cpp
@@ -1,4 +1,4 @@
-// Fan-out to subscribers; see the header.
+// Distribution to subscribers; see the header.
 #include "appletally/control/distributor.h"
 
 #include "appletally/base/log.h"
@@ -12,35 +12,37 @@
 
 namespace {
 
-    // A node that missed more than this many versions gets a whole snapshot, which is then the smaller message.
-    constexpr size_t keptVersions = 32;
+    // A node that is further behind gets a whole snapshot, which is then smaller than the delta.
+    constexpr size_t maxKeptVersions = 32;
 
-    // A full source stays full until others leave; the client finds another one meanwhile.
-    constexpr base::Duration fullComeBack { 5000 };
+    // A full source stays full until subscribers leave; the client tries other sources meanwhile.
+    constexpr base::Duration fullRetryAfter { 5000 };
 
-    // Time enough to try every other source, and short for a mesh in which no source is better.
-    constexpr base::Duration isolatedComeBack { 300 };
+    // Long enough to try every other source, and short for a mesh in which all sources are isolated.
+    constexpr base::Duration isolatedRetryAfter { 300 };
 
-    // Those who found no better source look again this often: one may have come within reach. Each look costs a reconnect.
-    constexpr base::Duration lookAgain { 5'000 };
+    // Subscribers that found no better source are requested to search again at this interval, since one may have become
+    // reachable. Each search costs a reconnect.
+    constexpr base::Duration switchRequestInterval { 5'000 };
 
-    // A change after a quiet time leaves at once; those that follow are gathered this long. Callers learn of a draining or broken upstream from its own answers at
-    // once; through control it only has to be known well within two seconds, and larger batches compress better.
-    constexpr base::Duration endpointPace { 100 };
+    // The first change after an idle period is sent at once; further ones are batched for this time. A draining or broken
+    // upstream is noticed at once from its own answers; through control it only has to be known well within two seconds,
+    // and larger batches compress better.
+    constexpr base::Duration endpointBatchInterval { 100 };
 
-    // Subscribers stand at a few different changes at a time; a herd that starts stands at one.
-    constexpr size_t keptBatches = 64;
+    // Subscribers have few different cursors at a time; all that start have the same one.
+    constexpr size_t maxKeptBatches = 64;
 
-    // Below this a frame of zstd saves nothing.
-    constexpr size_t worthCompressing = 256;
+    // Smaller payloads do not shrink in a zstd frame.
+    constexpr size_t minBytesToCompress = 256;
 
-    // Records in one message. At about 120 bytes each it stays far under the limit of a message.
-    constexpr size_t mostRecords = 2000;
+    // At about 120 bytes per record a message stays far below the size limit.
+    constexpr size_t maxRecordsPerMessage = 2000;
 
 } // namespace
 
-Subscription::Subscription(std::weak_ptr<Distributor*> of, uint64_t id)
-    : m_of(std::move(of))
+Subscription::Subscription(std::weak_ptr<Distributor*> distributor, uint64_t id)
+    : m_distributor(std::move(distributor))
     , m_id(id)
 {
 }
@@ -48,16 +50,16 @@
 Subscription& Subscription::operator=(Subscription&& other) noexcept
 {
     end();
-    m_of = std::move(other.m_of);
+    m_distributor = std::move(other.m_distributor);
     m_id = other.m_id;
     return *this;
 }
 
 void Subscription::end()
 {
-    if (const auto of = m_of.lock())
-        (*of)->unsubscribe(m_id);
-    m_of.reset();
+    if (const auto distributor = m_distributor.lock())
+        (*distributor)->unsubscribe(m_id);
+    m_distributor.reset();
 }
 
 Distributor::Distributor(kj::Timer& timer, DistributorLimits limits, const config::EndpointRegistry& endpoints)
@@ -71,31 +73,31 @@
 void Distributor::taskFailed(kj::Exception&& problem)
 {
     if (problem.getType() != kj::Exception::Type::DISCONNECTED)
-        base::logEvent(base::Event::LinkDown, std::string("a feed failed: ") + problem.getDescription().cStr());
+        base::logEvent(base::Event::LinkDown, std::string("sending to a subscriber failed: ") + problem.getDescription().cStr());
 }
 
-// --- Who takes ---
+// --- Subscribers ---
 
-base::Result<Subscription> Distributor::subscribe(const base::HostId& who, base::ConfigVersion have, config::EndpointCursor cursor, inner::rpc::Feed::Client feed, bool promised)
+base::Result<Subscription> Distributor::subscribe(const base::HostId& host, base::ConfigVersion have, config::EndpointCursor cursor, inner::rpc::Feed::Client feed, bool promised)
 {
-    if (m_subscribers.size() >= m_limits.mostSubscribers) {
-        ++m_counters.cameBackLater;
-        return base::fail(base::Code::ComeBackLater, "as many as this source can serve are linked", fullComeBack);
+    if (m_subscribers.size() >= m_limits.maxSubscribers) {
+        ++m_counters.rejectedSubscriptions;
+        return base::fail(base::Code::ComeBackLater, "this source has its maximum number of subscribers", fullRetryAfter);
     }
     if (m_isolated && !promised) {
-        ++m_counters.cameBackLater;
-        return base::fail(base::Code::SourceIsolated, "this source has lost the other control processes", isolatedComeBack);
+        ++m_counters.rejectedSubscriptions;
+        return base::fail(base::Code::SourceIsolated, "this source cannot reach the other control processes", isolatedRetryAfter);
     }
     const policy::Entry entry = policy::admit(m_limits.starts, promised, base::steadyNow(), inner::randomNumber());
     if (!entry.letIn) {
-        ++m_counters.cameBackLater;
-        return base::fail(base::Code::ComeBackLater, "more are starting than this source can bring up", entry.comeBackIn);
+        ++m_counters.rejectedSubscriptions;
+        return base::fail(base::Code::ComeBackLater, "more subscribers are starting than this source admits at a time", entry.comeBackIn);
     }
     ++m_counters.subscribed;
-    ++m_starting;
+    ++m_startingCount;
     const uint64_t id = m_nextId++;
-    m_subscribers.emplace(id, Subscriber { who, std::move(feed), have, cursor, {} });
-    m_tasks.add(kj::evalLater([this, id] { push(id); })); // after the answer to subscribe
+    m_subscribers.emplace(id, Subscriber { host, std::move(feed), have, cursor, {} });
+    m_tasks.add(kj::evalLater([this, id] { pushAll(id); })); // after the answer to subscribe
     return Subscription { m_self, id };
 }
 
@@ -104,36 +106,36 @@
     auto it = m_subscribers.find(id);
     if (it == m_subscribers.end())
         return;
-    settle(it->second);
+    finishStart(it->second);
     m_subscribers.erase(it);
 }
 
-void Distributor::settle(Subscriber& it)
+void Distributor::finishStart(Subscriber& it)
 {
     if (std::exchange(it.starting, false))
-        --m_starting;
+        --m_startingCount;
 }
 
 void Distributor::setIsolated(bool isolated)
 {
     if (std::exchange(m_isolated, isolated) == isolated || !isolated)
         return;
-    base::logEvent(base::Event::LinkDown, "most other control processes cannot be reached; subscribers are asked to look for another source");
-    if (!std::exchange(m_looking, true))
-        askToLeave();
+    base::logEvent(base::Event::LinkDown, "most other control processes are unreachable; subscribers are requested to switch to another source");
+    if (!std::exchange(m_switchRequestScheduled, true))
+        requestSourceSwitch();
 }
 
-void Distributor::askToLeave()
+void Distributor::requestSourceSwitch()
 {
-    m_looking = m_isolated;
+    m_switchRequestScheduled = m_isolated;
     if (!m_isolated)
         return;
     for (auto& [id, it] : m_subscribers) {
-        auto ask = it.feed.leaveRequest();
-        ask.setComeBackMs(static_cast<uint32_t>(isolatedComeBack.ms));
-        m_tasks.add(ask.send().ignoreResult());
+        auto request = it.feed.leaveRequest();
+        request.setComeBackMs(static_cast<uint32_t>(isolatedRetryAfter.ms));
+        m_tasks.add(request.send().ignoreResult());
     }
-    m_tasks.add(m_timer.afterDelay(lookAgain.ms * kj::MILLISECONDS).then([this] { askToLeave(); }));
+    m_tasks.add(m_timer.afterDelay(switchRequestInterval.ms * kj::MILLISECONDS).then([this] { requestSourceSwitch(); }));
 }
 
 void Distributor::setSources(std::vector<std::string> sources)
@@ -149,30 +151,30 @@
 {
     if (m_sources.empty())
         return;
-    auto ask = it.feed.sourcesRequest();
-    auto out = ask.initAddresses(static_cast<unsigned>(m_sources.size()));
+    auto request = it.feed.sourcesRequest();
+    auto out = request.initAddresses(static_cast<unsigned>(m_sources.size()));
     for (unsigned n = 0; n < m_sources.size(); ++n)
         out.set(n, m_sources[n].c_str());
-    m_tasks.add(ask.send().ignoreResult());
+    m_tasks.add(request.send().ignoreResult());
 }
 
-// --- What there is ---
+// --- Content ---
 
 void Distributor::contentReleased(std::shared_ptr<const config::Snapshot> content)
 {
     if (m_content && content->version <= m_content->version)
         return;
     m_content = std::move(content);
-    m_pieces.clear();
-    m_recent[m_content->version] = m_content;
-    if (m_recent.size() > keptVersions)
-        m_recent.erase(m_recent.begin());
-    schedule();
+    m_contentPieces.clear();
+    m_recentContent[m_content->version] = m_content;
+    if (m_recentContent.size() > maxKeptVersions)
+        m_recentContent.erase(m_recentContent.begin());
+    scheduleContent();
 }
 
 // --- Sending ---
 
-void Distributor::schedule()
+void Distributor::scheduleContent()
 {
     if (m_scheduled)
         return;
@@ -193,7 +195,7 @@
         return;
     m_endpointsScheduled = true;
     const kj::TimePoint now = m_timer.now();
-    const kj::TimePoint earliest = m_limits.batching ? m_endpointsPushedAt + endpointPace.ms * kj::MILLISECONDS : now;
+    const kj::TimePoint earliest = m_limits.batching ? m_endpointsPushedAt + endpointBatchInterval.ms * kj::MILLISECONDS : now;
     m_tasks.add(m_timer.afterDelay(kj::max(earliest, now) - now).then([this] {
         m_endpointsScheduled = false;
         m_endpointsPushedAt = m_timer.now();
@@ -202,7 +204,7 @@
     }));
 }
 
-void Distributor::push(uint64_t id)
+void Distributor::pushAll(uint64_t id)
 {
     auto it = m_subscribers.find(id);
     if (it == m_subscribers.end())
@@ -212,14 +214,14 @@
     pushEndpoints(id, it->second);
 }
 
-const inner::ContentPiece& Distributor::piece(base::ConfigVersion from)
+const inner::ContentPiece& Distributor::contentPiece(base::ConfigVersion from)
 {
-    auto known = m_recent.find(from);
-    const base::ConfigVersion start = known == m_recent.end() ? base::ConfigVersion {} : from;
-    auto it = m_pieces.find(start);
-    if (it == m_pieces.end()) {
-        const config::Snapshot* old = known == m_recent.end() ? nullptr : known->second.get();
-        it = m_pieces.emplace(start, inner::makePiece(*m_content, old)).first;
+    auto known = m_recentContent.find(from);
+    const base::ConfigVersion start = known == m_recentContent.end() ? base::ConfigVersion {} : from;
+    auto it = m_contentPieces.find(start);
+    if (it == m_contentPieces.end()) {
+        const config::Snapshot* old = known == m_recentContent.end() ? nullptr : known->second.get();
+        it = m_contentPieces.emplace(start, inner::makePiece(*m_content, old)).first;
     }
     return it->second;
 }
@@ -229,24 +231,24 @@
     if (it.contentBusy)
         return;
     if (!m_content || it.have >= m_content->version || it.refused >= m_content->version) {
-        settle(it);
+        finishStart(it);
         return;
     }
-    const inner::ContentPiece& next = piece(it.have);
+    const inner::ContentPiece& next = contentPiece(it.have);
     ++(next.from.value == 0 ? m_counters.wholeSent : m_counters.deltasSent);
     m_counters.contentBytes += next.bytes.size();
-    auto ask = it.feed.contentRequest();
-    auto content = ask.initContent();
+    auto request = it.feed.contentRequest();
+    auto content = request.initContent();
     content.setVersion(next.version.value);
     content.setFrom(next.from.value);
     content.setBytes(inner::toData(next.bytes));
     it.contentBusy = true;
     const bool whole = next.from.value == 0;
     const base::ConfigVersion sent = next.version;
-    m_tasks.add(ask.send().then([this, id, whole, sent](auto&& answer) { confirmed(id, whole, sent, { answer.getHave() }); }));
+    m_tasks.add(request.send().then([this, id, whole, sent](auto&& answer) { onContentConfirmed(id, whole, sent, { answer.getHave() }); }));
 }
 
-void Distributor::confirmed(uint64_t id, bool whole, base::ConfigVersion sent, base::ConfigVersion have)
+void Distributor::onContentConfirmed(uint64_t id, bool whole, base::ConfigVersion sent, base::ConfigVersion have)
 {
     auto found = m_subscribers.find(id);
     if (found == m_subscribers.end())
@@ -259,19 +261,19 @@
     pushContent(id, it);
 }
 
-const Distributor::Batch& Distributor::batch(const config::EndpointCursor& cursor)
+const Distributor::EndpointBatch& Distributor::batch(const config::EndpointCursor& cursor)
 {
-    if (std::exchange(m_batchesOf, m_endpoints.lastChange) != m_endpoints.lastChange || m_batches.size() >= keptBatches)
+    if (std::exchange(m_batchesChange, m_endpoints.lastChange) != m_endpoints.lastChange || m_batches.size() >= maxKeptBatches)
         m_batches.clear();
     const std::tuple key(cursor.registry, cursor.change, cursor.since);
     auto it = m_batches.find(key);
     if (it != m_batches.end())
         return it->second;
-    Batch out;
-    out.delta = config::changesSince(m_endpoints, cursor, nullptr, mostRecords);
+    EndpointBatch out;
+    out.delta = config::changesSince(m_endpoints, cursor, nullptr, maxRecordsPerMessage);
     out.records = out.delta.endpoints.size();
     out.bytes = config::encode(std::exchange(out.delta.endpoints, {}));
-    out.compressed = out.bytes.size() >= worthCompressing;
+    out.compressed = out.bytes.size() >= minBytesToCompress;
     if (out.compressed)
         out.bytes = config::compress(out.bytes);
     return m_batches.emplace(key, std::move(out)).first->second;
@@ -281,13 +283,13 @@
 {
     if (it.endpointsBusy)
         return;
-    const Batch& next = batch(it.cursor);
+    const EndpointBatch& next = batch(it.cursor);
     if (next.records == 0 && next.delta.to == it.cursor)
         return;
     ++m_counters.endpointMessages;
     m_counters.endpointRecords += next.records;
-    auto ask = it.feed.endpointsRequest();
-    auto out = ask.initDelta();
+    auto request = it.feed.endpointsRequest();
+    auto out = request.initDelta();
     inner::write(out.initFrom(), next.delta.from);
     inner::write(out.initTo(), next.delta.to);
     out.setWhole(next.delta.whole);
@@ -295,7 +297,7 @@
     out.setEndpoints(inner::toData(next.bytes));
     out.setCompressed(next.compressed);
     it.endpointsBusy = true;
-    m_tasks.add(ask.send().then([this, id](auto&& answer) {
+    m_tasks.add(request.send().then([this, id](auto&& answer) {
         auto found = m_subscribers.find(id);
         if (found == m_subscribers.end())
             return;
@@ -308,8 +310,8 @@
 
 nlohmann::json Distributor::toJson() const
 {
-    return { { "version", m_content ? m_content->version.value : 0 }, { "subscribers", m_subscribers.size() }, { "starting", m_starting }, { "isolated", m_isolated },
-        { "endpoints", m_endpoints.entries.size() }, { "subscribed", m_counters.subscribed }, { "came_back_later", m_counters.cameBackLater },
+    return { { "version", m_content ? m_content->version.value : 0 }, { "subscribers", m_subscribers.size() }, { "starting", m_startingCount }, { "isolated", m_isolated },
+        { "endpoints", m_endpoints.entries.size() }, { "subscribed", m_counters.subscribed }, { "came_back_later", m_counters.rejectedSubscriptions },
         { "whole_sent", m_counters.wholeSent }, { "deltas_sent", m_counters.deltasSent }, { "content_bytes", m_counters.contentBytes },
         { "endpoint_messages", m_counters.endpointMessages }, { "endpoint_records", m_counters.endpointRecords } };
 }
--- a/src/appletally/control/distributor.h
+++ b/src/appletally/control/distributor.h
@@ -1,9 +1,9 @@
-// Fans released snapshots and endpoint records out to the subscribers of this source.
+// Sends released snapshots and endpoint records to the subscribers of this source.
 //
-// Each subscriber has one call of each kind under way at most, and is sent what fits the version that it says it has:
-// a slow one gets fewer, larger steps and never a queue in this process's memory. Changes that come close together
-// leave as one, after the snapshot's pace. A herd of starting subscribers is let in a few at a time; the others hear
-// when to come back, so that those inside are brought up at full speed instead of all at once and none in time.
+// Each subscriber has at most one call of each kind in flight, and receives a delta from the version that it reports:
+// a slow subscriber gets fewer, larger deltas and never a queue in this process's memory. Changes within the snapshot's
+// batching interval are sent together. Load pattern: many subscribers start at once. A limited number is admitted per
+// second and the others are told when to retry; without it all would be served at once and none in time.
 #pragma once
 
 #include "appletally/config/endpoint_registry.h"
@@ -23,14 +23,14 @@
 namespace appletally::control {
 
 struct DistributorLimits {
-    policy::Gate starts; // who may come when
-    size_t mostSubscribers = 1000;
+    policy::Gate starts; // admission of starting subscribers
+    size_t maxSubscribers = 1000;
     bool batching = true;
 };
 
 struct DistributorCounters {
     uint64_t subscribed = 0;
-    uint64_t cameBackLater = 0; // told to
+    uint64_t rejectedSubscriptions = 0; // with a time to retry after
     uint64_t wholeSent = 0;
     uint64_t deltasSent = 0;
     uint64_t contentBytes = 0;
@@ -40,37 +40,37 @@
 
 class Distributor;
 
-// A place among a distributor's subscribers, given up with the object. A call that is still under way when the process
-// stops keeps its session past the distributor, so it may outlive that.
+// Registration of one subscriber; destroying it unsubscribes. It may outlive the distributor, because a call that is
+// still in flight when the process stops keeps its session alive.
 class Subscription {
 public:
     Subscription() = default;
-    Subscription(std::weak_ptr<Distributor*> of, uint64_t id);
+    Subscription(std::weak_ptr<Distributor*> distributor, uint64_t id);
     Subscription(Subscription&&) = default;
     Subscription& operator=(Subscription&&) noexcept;
     ~Subscription() { end(); }
     void end();
 
 private:
-    std::weak_ptr<Distributor*> m_of;
+    std::weak_ptr<Distributor*> m_distributor;
     uint64_t m_id = 0;
 };
 
 class Distributor : private kj::TaskSet::ErrorHandler {
 public:
-    // `endpoints` must outlive the distributor; endpointsChanged() says that there is news in it.
+    // `endpoints` must outlive the distributor; call endpointsChanged() after each change to it.
     Distributor(kj::Timer&, DistributorLimits, const config::EndpointRegistry& endpoints);
 
-    // Overloaded sources answer ComeBackLater, those without the other control processes SourceIsolated.
-    base::Result<Subscription> subscribe(const base::HostId& who, base::ConfigVersion have, config::EndpointCursor, inner::rpc::Feed::Client, bool promised);
-    void unsubscribe(uint64_t subscriber); // repeats harmlessly
+    // Errors: ComeBackLater if the source is overloaded, SourceIsolated if it cannot reach the other control processes.
+    base::Result<Subscription> subscribe(const base::HostId& host, base::ConfigVersion have, config::EndpointCursor, inner::rpc::Feed::Client, bool promised);
+    void unsubscribe(uint64_t subscriber); // idempotent
 
-    // A source that has lost the other control processes still has endpoints and content, perhaps old ones. Its
-    // subscribers are asked to look for a better source, and again at intervals; whoever found none and comes back at
-    // the moment that it was told is let in.
+    // A source that cannot reach the other control processes still has endpoints and content, which may be outdated. It
+    // requests its subscribers to switch to another source, and repeats this at intervals. A subscriber that found none
+    // and reconnects at its assigned time is admitted.
     void setIsolated(bool);
 
-    void setSources(std::vector<std::string>); // addresses of all that serve content; subscribers hear of them
+    void setSources(std::vector<std::string>); // addresses of all sources, sent to the subscribers
     void contentReleased(std::shared_ptr<const config::Snapshot>);
     void endpointsChanged();
 
@@ -81,60 +81,60 @@
 
 private:
     struct Subscriber {
-        base::HostId who;
+        base::HostId host;
         inner::rpc::Feed::Client feed;
         base::ConfigVersion have;
-        config::EndpointCursor cursor; // as it confirmed
-        base::ConfigVersion refused; // not sent again; the next version is another try
+        config::EndpointCursor cursor; // as confirmed by the subscriber
+        base::ConfigVersion refused; // rejected by the subscriber, not sent again; later versions are
         bool contentBusy = false;
         bool endpointsBusy = false;
-        bool starting = true; // until it confirms the content of its start
+        bool starting = true; // until it confirms its first content
     };
 
     void taskFailed(kj::Exception&&) override;
-    void schedule();
+    void scheduleContent();
     void scheduleEndpoints();
-    void askToLeave();
-    void push(uint64_t id);
+    void requestSourceSwitch();
+    void pushAll(uint64_t id);
     void pushSources(Subscriber&);
     void pushContent(uint64_t id, Subscriber&);
     void pushEndpoints(uint64_t id, Subscriber&);
-    void confirmed(uint64_t id, bool whole, base::ConfigVersion sent, base::ConfigVersion have);
-    void settle(Subscriber&);
-    const inner::ContentPiece& piece(base::ConfigVersion from);
+    void onContentConfirmed(uint64_t id, bool whole, base::ConfigVersion sent, base::ConfigVersion have);
+    void finishStart(Subscriber&);
+    const inner::ContentPiece& contentPiece(base::ConfigVersion from);
 
     kj::Timer& m_timer;
     DistributorLimits m_limits;
     DistributorCounters m_counters;
     std::map<uint64_t, Subscriber> m_subscribers;
     uint64_t m_nextId = 1;
-    size_t m_starting = 0;
+    size_t m_startingCount = 0;
 
     std::shared_ptr<const config::Snapshot> m_content;
-    std::map<base::ConfigVersion, std::shared_ptr<const config::Snapshot>> m_recent; // to make deltas from
-    std::map<base::ConfigVersion, inner::ContentPiece> m_pieces; // to m_content, by the version they start from
+    std::map<base::ConfigVersion, std::shared_ptr<const config::Snapshot>> m_recentContent; // base versions for deltas
+    std::map<base::ConfigVersion, inner::ContentPiece> m_contentPieces; // messages that lead to m_content, by base version
 
-    // One batch of endpoints in bytes: most subscribers stand at the same change and get the same.
-    struct Batch {
-        config::EndpointsDelta delta; // its endpoints are in the bytes
+    // One encoded batch of endpoints. Most subscribers have the same cursor and share it.
+    struct EndpointBatch {
+        config::EndpointsDelta delta; // without its endpoints, which are encoded in `bytes`
         size_t records = 0;
         std::string bytes;
         bool compressed = false;
     };
-    const Batch& batch(const config::EndpointCursor&);
+    const EndpointBatch& batch(const config::EndpointCursor&);
 
     const config::EndpointRegistry& m_endpoints;
-    std::map<std::tuple<uint64_t, uint64_t, uint64_t>, Batch> m_batches; // by cursor; of the registry as it is
-    uint64_t m_batchesOf = 0; // its change
+    std::map<std::tuple<uint64_t, uint64_t, uint64_t>, EndpointBatch> m_batches; // by cursor; valid for m_batchesChange
+    uint64_t m_batchesChange = 0; // change number of the registry that m_batches was made from
 
     std::vector<std::string> m_sources;
     bool m_isolated = false;
-    bool m_looking = false; // askToLeave() comes again
-    bool m_scheduled = false; // content
+    bool m_switchRequestScheduled = false; // requestSourceSwitch() is scheduled
+    bool m_scheduled = false; // a content push
     bool m_endpointsScheduled = false;
     kj::TimePoint m_endpointsPushedAt = kj::origin<kj::TimePoint>();
-    std::shared_ptr<Distributor*> m_self = std::make_shared<Distributor*>(this); // for subscriptions
-    kj::TaskSet m_tasks; // last: its tasks use all above
+    std::shared_ptr<Distributor*> m_self = std::make_shared<Distributor*>(this); // expires with the distributor; held weakly by subscriptions
+    kj::TaskSet m_tasks; // last member: its tasks use all others
 };
 
 } // namespace appletally::control
--- a/src/appletally/control/documents.cpp
+++ b/src/appletally/control/documents.cpp
@@ -1,8 +1,8 @@
-// Whole documents and unnumbered moves of traffic, for an operators' port that speaks another protocol than ours.
+// Whole documents and unnumbered traffic changes, for an operators' port with another protocol.
 //
-// Documents are taken one at a time: each is judged against the one before it, so that only its difference goes into the
-// log. Whoever does not lead says so, and the port sends the operator to the leader; a second way through a process that
-// may have lost the leader would only be one more place where an answer can get lost.
+// Documents are processed one at a time: each is compared with its predecessor, so that only the difference goes into the
+// log. A follower answers NotLeader and the port redirects the operator to the leader; forwarding through a process that
+// may have lost its link to the leader would be another place where an answer can get lost.
 #include "appletally/base/log.h"
 #include "appletally/control/process.h"
 
@@ -12,13 +12,13 @@
 
 namespace {
 
-    // How long an operator's answer waits for nodes to confirm that they have the version in force. They take a tenth of
-    // it; one that takes longer is out of reach and must find another source first.
-    constexpr base::Duration inForceLimit { 600 };
+    // How long an operator's answer waits until all nodes have confirmed that they applied the version. They take a tenth
+    // of it; a node that takes longer is unreachable and must first find another source.
+    constexpr base::Duration appliedTimeout { 600 };
 
-    constexpr size_t mostNodesNamed = 10; // in one line of the log
+    constexpr size_t maxLoggedNodes = 10; // per log line
 
-    base::Error notLeading() { return base::fail(base::Code::NotLeader, "another process leads"); }
+    base::Error notLeader() { return base::fail(base::Code::NotLeader, "this process is not the leader"); }
 
     base::Error errorOf(const config::Outcome& outcome) { return { outcome.code, outcome.text, {} }; }
 
@@ -37,7 +37,7 @@
 {
     using Answer = base::Result<const config::State*>;
     if (!m_replica || !m_leading)
-        return Answer(notLeading());
+        return Answer(notLeader());
     return m_replica->readIndex().then([this](const base::Result<base::LogIndex>& index) -> Answer {
         if (!index)
             return index.error();
@@ -48,35 +48,35 @@
 kj::Promise<base::Result<void>> ControlProcess::submitDocument(config::Document document)
 {
     if (!m_replica || !m_leading)
-        return base::Result<void>(notLeading());
-    ++m_changesUnderWay;
+        return base::Result<void>(notLeader());
+    ++m_pendingChanges;
     auto shared = std::make_shared<const config::Document>(std::move(document));
-    auto proposed = m_documentTurn.addBranch().then([this, shared] { return proposeDocument(shared); }).fork();
-    m_documentTurn = proposed.addBranch().ignoreResult().catch_([](kj::Exception&&) {}).fork(); // the next one has its turn whatever became of this one
+    auto proposed = m_documentQueue.addBranch().then([this, shared] { return proposeDocument(shared); }).fork();
+    m_documentQueue = proposed.addBranch().ignoreResult().catch_([](kj::Exception&&) {}).fork(); // the next document follows whether or not this one succeeds
     return proposed.addBranch()
         .then([this](base::Result<base::ConfigVersion> version) -> kj::Promise<base::Result<void>> {
             if (!version)
                 return base::Result<void>(version.error());
-            return inForceEverywhere(version.value()).then([]() -> base::Result<void> { return base::success(); });
+            return waitUntilApplied(version.value()).then([]() -> base::Result<void> { return base::success(); });
         })
-        .attach(kj::defer([this] { --m_changesUnderWay; }));
+        .attach(kj::defer([this] { --m_pendingChanges; }));
 }
 
 kj::Promise<base::Result<base::ConfigVersion>> ControlProcess::proposeDocument(const std::shared_ptr<const config::Document>& document)
 {
     using Answer = base::Result<base::ConfigVersion>;
     if (!m_leading)
-        return Answer(notLeading());
+        return Answer(notLeader());
     const config::DocumentRecord& record = m_state.document;
     if (config::wasAccepted(record, document->id))
         return Answer(m_state.snapshot.version);
     if (document->id.base != record.current.number || document->id.number <= record.current.number)
-        return judgeConflict(document);
-    const config::SubmitDocument command { document->id, config::changeFrom(record.texts, *document), leadNow() };
+        return recheckConflict(document);
+    const config::SubmitDocument command { document->id, config::changeFrom(record.texts, *document), leaderTime() };
     return proposeForVersion(command);
 }
 
-// The version that the command made, or in force where it changed nothing.
+// Returns the version that the command created, or the current one if it changed nothing.
 kj::Promise<base::Result<base::ConfigVersion>> ControlProcess::proposeForVersion(const config::Command& command)
 {
     using Answer = base::Result<base::ConfigVersion>;
@@ -85,16 +85,16 @@
             return index.error();
         const auto outcome = m_outcomes.find(index.value());
         if (outcome == m_outcomes.end())
-            return base::fail(base::Code::OutcomePending, "committed, but its outcome is not at hand; resend");
+            return base::fail(base::Code::OutcomePending, "committed, but its outcome is not in memory; resend");
         if (outcome->second.code != base::Code::Ok)
             return errorOf(outcome->second);
         return outcome->second.version;
     });
 }
 
-// A leader that is new may not have applied everything yet. Refused by what it knows then, a document that was accepted
-// would be refused when it is resent; so a majority is asked first.
-kj::Promise<base::Result<base::ConfigVersion>> ControlProcess::judgeConflict(const std::shared_ptr<const config::Document>& document)
+// A new leader may not have applied all committed entries yet, and would then reject the resend of a document that was
+// accepted. Therefore a conflict is checked again after a linearizable read.
+kj::Promise<base::Result<base::ConfigVersion>> ControlProcess::recheckConflict(const std::shared_ptr<const config::Document>& document)
 {
     using Answer = base::Result<base::ConfigVersion>;
     return m_replica->readIndex().then([this, document](const base::Result<base::LogIndex>& index) -> kj::Promise<Answer> {
@@ -105,46 +105,46 @@
         if (config::wasAccepted(record, document->id))
             return Answer(m_state.snapshot.version);
         if (document->id.base != current)
-            return Answer(base::fail(base::Code::VersionConflict, "document " + std::to_string(current.value) + " is in force, not " + std::to_string(document->id.base.value)));
+            return Answer(base::fail(base::Code::VersionConflict, "document " + std::to_string(current.value) + " is current, not " + std::to_string(document->id.base.value)));
         if (document->id.number <= current)
-            return Answer(base::fail(base::Code::AnswersInvalid, "the document's number is not above " + std::to_string(current.value)));
+            return Answer(base::fail(base::Code::AnswersInvalid, "the document's number must be above " + std::to_string(current.value)));
         return proposeDocument(document);
     });
 }
 
-kj::Promise<void> ControlProcess::inForceEverywhere(base::ConfigVersion version)
+kj::Promise<void> ControlProcess::waitUntilApplied(base::ConfigVersion version)
 {
-    if (inForce(m_convergence, version) == m_convergence.nodes.size())
+    if (countApplied(m_convergence, version) == m_convergence.nodes.size())
         return kj::READY_NOW;
-    auto asked = kj::newPromiseAndFulfiller<void>();
-    m_inForceWaiters.push_back({ version, kj::mv(asked.fulfiller) });
-    return asked.promise.exclusiveJoin(m_timer.afterDelay(inForceLimit.ms * kj::MILLISECONDS).then([this, version] { answerBeforeAll(version); }));
+    auto waiter = kj::newPromiseAndFulfiller<void>();
+    m_appliedWaiters.push_back({ version, kj::mv(waiter.fulfiller) });
+    return waiter.promise.exclusiveJoin(m_timer.afterDelay(appliedTimeout.ms * kj::MILLISECONDS).then([this, version] { onAppliedTimeout(version); }));
 }
 
-void ControlProcess::answerBeforeAll(base::ConfigVersion version)
+void ControlProcess::onAppliedTimeout(base::ConfigVersion version)
 {
-    ++m_answeredBeforeAll;
+    ++m_appliedTimeouts;
     const std::vector<base::HostId> lacking = nodesBelow(m_convergence, version);
     std::string names;
-    for (size_t n = 0; n < std::min(lacking.size(), mostNodesNamed); ++n)
+    for (size_t n = 0; n < std::min(lacking.size(), maxLoggedNodes); ++n)
         names += " " + lacking[n].text;
-    base::logEvent(base::Event::AnsweredBeforeAll, "version " + std::to_string(version.value) + ": " + std::to_string(lacking.size()) + " of " + std::to_string(m_convergence.nodes.size()) + " nodes have not confirmed it after " + std::to_string(inForceLimit.ms) + " ms:" + names);
+    base::logEvent(base::Event::AnsweredBeforeAll, "version " + std::to_string(version.value) + ": " + std::to_string(lacking.size()) + " of " + std::to_string(m_convergence.nodes.size()) + " nodes have not confirmed it within " + std::to_string(appliedTimeout.ms) + " ms:" + names);
 }
 
-void ControlProcess::wakeInForceWaiters()
+void ControlProcess::wakeAppliedWaiters()
 {
-    std::erase_if(m_inForceWaiters, [&](InForceWaiter& it) {
+    std::erase_if(m_appliedWaiters, [&](AppliedWaiter& it) {
         if (!it.fulfiller->isWaiting())
             return true;
-        const bool there = inForce(m_convergence, it.version) == m_convergence.nodes.size();
+        const bool there = countApplied(m_convergence, it.version) == m_convergence.nodes.size();
         if (there)
             it.fulfiller->fulfill();
         return there;
     });
 }
 
-// The one that most upstreams of the service run, besides the one that is to take over.
-base::UpstreamVersion ControlProcess::versionWithTraffic(const base::ServiceName& service, const base::UpstreamVersion& besides) const
+// The version that most upstreams of the service run, other than `besides` and the empty version.
+base::UpstreamVersion ControlProcess::mostDeployedVersion(const base::ServiceName& service, const base::UpstreamVersion& besides) const
 {
     config::ReadyByVersion counts = config::readyUpstreams(m_endpoints, service);
     counts.erase(besides);
@@ -157,20 +157,20 @@
 {
     using Answer = base::Result<void>;
     if (!m_replica || !m_leading)
-        return Answer(notLeading());
+        return Answer(notLeader());
     const auto known = m_state.traffic.find(command.service);
-    command.from = known != m_state.traffic.end() && !known->second.empty() ? known->second : versionWithTraffic(command.service, command.to);
-    command.at = leadNow();
+    command.from = known != m_state.traffic.end() && !known->second.empty() ? known->second : mostDeployedVersion(command.service, command.to);
+    command.at = leaderTime();
     if (command.from.empty())
         return Answer(base::fail(base::Code::NotReady, "no upstream of " + command.service.text + " with another version is known yet"));
-    ++m_changesUnderWay;
+    ++m_pendingChanges;
     return proposeForVersion(command)
         .then([](const base::Result<base::ConfigVersion>& version) -> Answer {
             if (!version)
                 return version.error();
             return base::success();
         })
-        .attach(kj::defer([this] { --m_changesUnderWay; }));
+        .attach(kj::defer([this] { --m_pendingChanges; }));
 }
 
 } // namespace appletally::control
--- a/src/appletally/control/formation.h
+++ b/src/appletally/control/formation.h
@@ -1,9 +1,9 @@
-// How a control process of a mesh without a fixed list of voters gets its data folder.
+// Creates the data folder of a control process in a mesh without a fixed list of voters.
 //
-// At the first start of the whole mesh the seeds are its first voters. They start in any order and cannot ask each other
-// yet, so each works out the same members by itself: a seed's replica id follows from its address. Everybody else, and
-// every later start with an empty folder, draws a random id and waits to be let in. A host that lost its disk must not
-// vote under its old id: what that id promised went with the disk.
+// At the first start of the mesh the seeds are its first voters. They start in any order and cannot communicate yet, so
+// each derives the same member list: a seed's replica id is a hash of its address. Every other host, and every later
+// start with an empty folder, uses a random id and waits until the leader adds it. A host that lost its disk must not
+// vote under its old id, because the votes that it promised under that id were lost with the disk.
 #pragma once
 
 #include "appletally/consensus/disk_log.h"
@@ -11,14 +11,14 @@
 
 namespace appletally::control {
 
-// The id that a seed has at the first start; never 0.
-base::ReplicaId firstReplicaId(const base::Address&);
+// Replica id of a seed at the first start of the mesh; never 0.
+base::ReplicaId seedReplicaId(const base::Address&);
 
-// What a folder that does not exist yet is to be formatted with.
-consensus::FormatOptions formationOf(const ControlSettings&, base::ReplicaId random);
+// Options for formatting a missing data folder. `random`: the id of a replica that is no first voter.
+consensus::FormatOptions formatOptionsFor(const ControlSettings&, base::ReplicaId random);
 
-// Opens the folder and formats it where need be. A damaged one is set aside and replaced by an empty one: its replica is
-// lost, as with a lost disk, and its successor learns everything from the others.
-base::Result<consensus::DiskLog> openOrForm(const consensus::FileCalls&, const ControlSettings&);
+// Opens the data folder, and formats it if it is missing. A damaged folder is renamed and replaced by an empty one: its
+// replica is lost, as with a lost disk, and the new replica catches up from the others.
+base::Result<consensus::DiskLog> openOrFormat(const consensus::FileCalls&, const ControlSettings&);
 
 } // namespace appletally::control
--- a/src/appletally/control/duties.cpp
+++ b/src/appletally/control/housekeeping.cpp
@@ -1,4 +1,5 @@
-// What a control process does by itself at intervals: expiry of records, and the leader's duties.
+// Periodic work of a control process: expiry of records, reopening of a failed disk, isolation checks, and the leader's
+// membership, keeper and rollout changes.
 #include "appletally/base/log.h"
 #include "appletally/control/process.h"
 #include "appletally/policy/claim_keeper.h"
@@ -9,56 +10,56 @@
 
 namespace {
 
-    constexpr base::Duration dutyEvery { 200 }; // nodes report evidence about as often
+    constexpr base::Duration housekeepingInterval { 200 }; // about the interval at which nodes report evidence
 
-    // A process that starts, or loses a peer that restarts, is not isolated yet. With the time after which a link counts
-    // as silent its nodes are with another source two seconds after a cut.
-    constexpr base::Duration isolatedAfter { 600 };
+    // Longer than the start of this process or the restart of a peer. Together with the time after which a link counts as
+    // silent, nodes have switched to another source two seconds after a network partition.
+    constexpr base::Duration isolationTimeout { 600 };
 
-    // A disk that failed is tried again this often; each try reads the log once.
-    constexpr base::Duration diskPause { 1000 };
+    // Interval of attempts to reopen a failed disk; each attempt reads the log once.
+    constexpr base::Duration diskReopenInterval { 1000 };
 
-    // How long a keeper remembers a claim; a change of the set ends no earlier, see policy/keepers.h.
+    // How long a keeper stores a claim. A change of the keeper set must not end earlier, see policy/keepers.h.
     constexpr base::Duration claimLife = policy::claimLife({});
 
 } // namespace
 
 kj::Promise<void> ControlProcess::housekeeping()
 {
-    return m_timer.afterDelay(dutyEvery.ms * kj::MILLISECONDS).then([this] {
-        expireOld();
-        openDiskAgain();
-        learnMembers();
-        noteIsolation();
+    return m_timer.afterDelay(housekeepingInterval.ms * kj::MILLISECONDS).then([this] {
+        expireRecords();
+        reopenDisk();
+        addMemberPeers();
+        updateIsolation();
         if (m_leading) {
-            letInNewVoters();
-            takeOutLostVoters();
+            addNewVoters();
+            removeLostVoters();
             if (m_settings.claims)
-                agreeOnKeepers();
+                proposeKeepers();
             runRollouts();
         }
         return housekeeping();
     });
 }
 
-// Cut off silently, a source would keep its nodes on an old version for as long as the cut lasts, while the links
-// between it and them are well. Half of all control processes, itself included, is too few to go on as if nothing were.
-void ControlProcess::noteIsolation()
+// A silently partitioned source would keep its nodes on an old version for as long as the partition lasts, since its links
+// to them still work. A process that reaches only half of the control processes, itself included, counts as isolated.
+void ControlProcess::updateIsolation()
 {
-    const bool enough = findsPeers() ? reachesMajority() : reachesMostPeers();
+    const bool enough = discoversPeers() ? reachesMajority() : reachesMostControlProcesses();
     const base::Time now = base::steadyNow();
     if (enough)
-        m_enoughPeersAt = now;
-    m_distributor.setIsolated(now - m_enoughPeersAt >= isolatedAfter);
+        m_lastConnectedAt = now;
+    m_distributor.setIsolated(now - m_lastConnectedAt >= isolationTimeout);
 }
 
-bool ControlProcess::reachesMostPeers() const
+bool ControlProcess::reachesMostControlProcesses() const
 {
     const auto up = std::count_if(m_peers.begin(), m_peers.end(), [](const auto& it) { return it->up(); });
     return 2 * (static_cast<size_t>(up) + 1) > m_peers.size() + 1;
 }
 
-// A replica that has not caught up to the change that added it may hold outdated state, so it does not count as connected.
+// False for a replica that has not applied the change that added it, because its state may be outdated.
 bool ControlProcess::reachesMajority() const
 {
     if (!m_replica || m_replica->stopped())
@@ -76,37 +77,37 @@
     return consensus::hasCaughtUp(replica) && reached * 2 > voters;
 }
 
-void ControlProcess::expireOld()
+void ControlProcess::expireRecords()
 {
     const base::Time now = base::steadyNow();
     if (const size_t n = config::expire(m_endpoints, now); n != 0) {
-        base::logEvent(base::Event::UpstreamLeft, std::to_string(n) + " endpoints were not renewed");
+        base::logEvent(base::Event::UpstreamLeft, std::to_string(n) + " endpoints expired without renewal");
         m_distributor.endpointsChanged();
     }
-    std::erase_if(m_own.endpoints, [&](const auto& entry) {
+    std::erase_if(m_localReports.endpoints, [&](const auto& entry) {
         auto it = m_endpoints.entries.find(entry.first);
         return it == m_endpoints.entries.end() || it->second.ranOut;
     });
-    std::erase_if(m_own.evidence, [&](const auto& entry) { return !m_endpoints.entries.contains(std::get<0>(entry.first)); });
-    std::erase_if(m_all.evidence, [&](const auto& entry) { return !m_endpoints.entries.contains(std::get<0>(entry.first)); });
-    std::erase_if(m_own.inForce, [&](const auto& entry) { return !m_convergence.nodes.contains(entry.first); });
-    control::expire(m_convergence, now);
+    std::erase_if(m_localReports.evidence, [&](const auto& entry) { return !m_endpoints.entries.contains(std::get<0>(entry.first)); });
+    std::erase_if(m_allEvidence.evidence, [&](const auto& entry) { return !m_endpoints.entries.contains(std::get<0>(entry.first)); });
+    std::erase_if(m_localReports.appliedVersions, [&](const auto& entry) { return !m_convergence.nodes.contains(entry.first); });
+    control::expireNodes(m_convergence, now);
 }
 
 // A mesh starts with one formatted voter, or with its seeds; all new hosts that are connected are added in one change. With
-// a fixed list, a host that was a member before is never added again automatically: it lost its disk, and only an operator
-// knows whether the old replica is really gone (replace-voter).
-void ControlProcess::letInNewVoters()
+// a fixed list of voters, the host of a current member is never added automatically: it lost its disk, and only an operator
+// knows whether the old replica is permanently lost (replace-voter).
+void ControlProcess::addNewVoters()
 {
     if (m_changingMembers)
         return;
     const consensus::Members& members = consensus::latestMembers(m_replica->replica());
     std::vector<consensus::Member> joining;
     for (PeerLink* it : possibleVoters()) {
-        // Where hosts are known by their addresses, an empty folder at a voter's address says that the old one is lost:
-        // nothing else can listen there.
+        // With seeds, hosts are identified by address. A new replica id at a voter's address means that the old replica is
+        // lost, since no other process can listen there.
         const bool known = std::any_of(members.list.begin(), members.list.end(), [&](const consensus::Member& member) {
-            return findsPeers() ? member.id == it->replica() : member.host == it->host();
+            return discoversPeers() ? member.id == it->replica() : member.host == it->host();
         });
         if (known || !it->up() || it->replica().value == 0)
             continue;
@@ -118,15 +119,15 @@
     m_tasks->add(m_replica->addMembers(std::move(joining)).then([this](const base::Result<base::LogIndex>&) { m_changingMembers = false; }));
 }
 
-// A full disk has room again after a while, and nobody is there to restart the process. Left stopped, the replica is a loss
-// that nobody sees, and the next one stops the log. What is in memory is thrown away: the replica begins with what its disk
-// has, as after a restart.
-void ControlProcess::openDiskAgain()
+// A full disk may have space again later, and no operator restarts the process. A replica that stayed stopped would be an
+// unnoticed loss, and the next loss would stop the log. The state in memory is discarded: the replica starts from its disk,
+// as after a restart.
+void ControlProcess::reopenDisk()
 {
     const base::Time now = base::steadyNow();
-    if (!findsPeers() || !m_replica || !m_replica->stopped() || now - m_diskTriedAt < diskPause)
+    if (!discoversPeers() || !m_replica || !m_replica->stopped() || now - m_diskReopenedAt < diskReopenInterval)
         return;
-    m_diskTriedAt = now;
+    m_diskReopenedAt = now;
     m_replica->closeDisk();
     auto opened = consensus::openFolder(consensus::systemFileCalls(), m_settings.data);
     if (!opened) {
@@ -138,34 +139,34 @@
         consensus::closeFolder(opened.value());
         return;
     }
-    base::logEvent(base::Event::DiskOpenedAgain, "the replica begins with log index " + std::to_string(opened.value().state.commit.value));
+    base::logEvent(base::Event::DiskOpenedAgain, "the replica starts from log index " + std::to_string(opened.value().state.commit.value));
     m_state = {};
     m_appliedIndex = {};
     m_unreleased.clear();
     m_outcomes.clear();
     m_leading = false;
     m_changingMembers = false;
-    m_ownProposal = false;
-    m_documentTurn = kj::Promise<void>(kj::READY_NOW).fork();
+    m_internalProposalPending = false;
+    m_documentQueue = kj::Promise<void>(kj::READY_NOW).fork();
     makeReplica(std::move(opened.value()));
 }
 
-// Only where hosts come and go by themselves; with a fixed list of voters an operator decides who is lost.
-void ControlProcess::takeOutLostVoters()
+// Only with seeds, where membership is automatic; with a fixed list of voters an operator decides which one is lost.
+void ControlProcess::removeLostVoters()
 {
-    if (!findsPeers() || m_changingMembers)
+    if (!discoversPeers() || m_changingMembers)
         return;
     const consensus::Replica& replica = m_replica->replica();
     const base::Time now = base::steadyNow();
     const auto lost = policy::nextLost(m_lostVoters, consensus::latestMembers(replica), consensus::respondingVoters(replica, now), consensus::hasStandby(replica, now), now);
     if (!lost)
         return;
-    base::logEvent(base::Event::ReplicaRemoved, "replica " + std::to_string(lost->value) + " was silent for " + std::to_string((now - m_lostVoters.silentSince.at(*lost)).ms) + " ms and is taken out");
+    base::logEvent(base::Event::ReplicaRemoved, "replica " + std::to_string(lost->value) + " was silent for " + std::to_string((now - m_lostVoters.silentSince.at(*lost)).ms) + " ms and is removed");
     m_changingMembers = true;
     m_tasks->add(m_replica->removeMember(*lost).then([this](const base::Result<base::LogIndex>&) { m_changingMembers = false; }));
 }
 
-void ControlProcess::agreeOnKeepers()
+void ControlProcess::proposeKeepers()
 {
     const config::KeeperSet& agreed = m_state.snapshot.keepers;
     if (!agreed.previous.empty()) {
@@ -173,10 +174,10 @@
         return;
     }
     const auto members = chooseKeepers(m_keeperChoice, agreed, m_endpoints, base::steadyNow());
-    if (members && agreed.number.value == 0 && !firstSetMayForm(*members, m_convergence))
+    if (members && agreed.number.value == 0 && !mayProposeFirstSet(*members, m_convergence))
         return;
-    if (members && proposeOwn(config::SetKeepers { agreed.number, *members, {} }))
-        base::logEvent(base::Event::KeeperSetChanged, "proposes set " + std::to_string(agreed.number.value + 1) + " with " + std::to_string(members->size()) + " hosts");
+    if (members && proposeInternal(config::SetKeepers { agreed.number, *members, {} }))
+        base::logEvent(base::Event::KeeperSetChanged, "proposing set " + std::to_string(agreed.number.value + 1) + " with " + std::to_string(members->size()) + " hosts");
 }
 
 void ControlProcess::finishKeeperChange()
@@ -185,23 +186,23 @@
     const config::KeeperSet& agreed = m_state.snapshot.keepers;
     if (m_keeperChange.set.number != agreed.number) {
         m_keeperChange = { agreed, {} };
-        m_keeperChangeIn = m_state.snapshot.version; // perhaps later than the first one that has it, which only waits longer
+        m_keeperChangeVersion = m_state.snapshot.version; // may be later than the first version with the change, which only prolongs the wait
     }
     for (const config::Keeper& it : agreed.previous) {
         auto node = m_convergence.nodes.find(it.host);
-        if (node != m_convergence.nodes.end() && node->second.version >= m_keeperChangeIn)
+        if (node != m_convergence.nodes.end() && node->second.version >= m_keeperChangeVersion)
             m_keeperChange.inForceSince.try_emplace(it.host, now);
     }
     if (policy::mayEndChange(m_keeperChange, claimLife, now))
-        proposeOwn(config::FinishKeeperChange { agreed.number, {} });
+        proposeInternal(config::FinishKeeperChange { agreed.number, {} });
 }
 
 void ControlProcess::runRollouts()
 {
     if (m_rollouts.running.size() != m_state.running.size() || !std::equal(m_rollouts.running.begin(), m_rollouts.running.end(), m_state.running.begin(), [](const auto& a, const auto& b) { return a.first == b.first; }))
-        follow(m_rollouts, m_state, toReport(m_all).evidence);
-    for (const config::Command& it : stepRollouts(m_rollouts, m_state, m_endpoints, leadNow()))
-        proposeOwn(it);
+        syncRunning(m_rollouts, m_state, toReport(m_allEvidence).evidence);
+    for (const config::Command& it : stepRollouts(m_rollouts, m_state, m_endpoints, leaderTime()))
+        proposeInternal(it);
 }
 
 } // namespace appletally::control
--- a/src/appletally/control/keeper_choice.cpp
+++ b/src/appletally/control/keeper_choice.cpp
@@ -1,4 +1,4 @@
-// Choosing claim keepers, spread over the availability zones.
+// Selects claim keepers, spread over the availability zones; see the header.
 #include "appletally/control/keeper_choice.h"
 
 #include <algorithm>
@@ -27,8 +27,8 @@
         return out;
     }
 
-    // Members that are still there stay; the rest is filled from the zones that have the fewest.
-    std::vector<config::Keeper> want(const config::KeeperSet& agreed, std::map<base::ZoneName, Hosts> ready)
+    // Members that are still ready stay; free places go to the availability zones with the fewest keepers.
+    std::vector<config::Keeper> selectKeepers(const config::KeeperSet& agreed, std::map<base::ZoneName, Hosts> ready)
     {
         Hosts chosen;
         std::map<base::ZoneName, size_t> perZone;
@@ -40,7 +40,7 @@
                 }
             }
         }
-        while (chosen.size() < mostKeepers) {
+        while (chosen.size() < maxKeepers) {
             auto best = ready.end();
             for (auto it = ready.begin(); it != ready.end(); ++it) {
                 if (!it->second.empty() && (best == ready.end() || perZone[it->first] < perZone[best->first]))
@@ -61,17 +61,17 @@
 
 std::optional<std::vector<config::Keeper>> chooseKeepers(KeeperChoice& choice, const config::KeeperSet& agreed, const config::EndpointRegistry& endpoints, base::Time now)
 {
-    std::vector<config::Keeper> wanted = want(agreed, readyByZone(endpoints));
-    if (!same(wanted, choice.wanted))
-        choice = { std::move(wanted), now };
-    const base::Duration wait = agreed.members.empty() ? firstKeepersWait : keeperGoneFor;
-    const bool useful = choice.wanted.size() >= leastKeepers && !same(choice.wanted, agreed.members) && agreed.previous.empty();
-    if (!useful || now - choice.since < wait)
+    std::vector<config::Keeper> candidates = selectKeepers(agreed, readyByZone(endpoints));
+    if (!same(candidates, choice.candidates))
+        choice = { std::move(candidates), now };
+    const base::Duration wait = agreed.members.empty() ? firstKeepersDelay : keeperReplacementDelay;
+    const bool useful = choice.candidates.size() >= minKeepers && !same(choice.candidates, agreed.members) && agreed.previous.empty();
+    if (!useful || now - choice.unchangedSince < wait)
         return std::nullopt;
-    return choice.wanted;
+    return choice.candidates;
 }
 
-bool firstSetMayForm(const std::vector<config::Keeper>& members, const Convergence& convergence)
+bool mayProposeFirstSet(const std::vector<config::Keeper>& members, const Convergence& convergence)
 {
     return std::all_of(members.begin(), members.end(), [&](const config::Keeper& it) {
         const auto node = convergence.nodes.find(it.host);
--- a/src/appletally/control/keeper_choice.h
+++ b/src/appletally/control/keeper_choice.h
@@ -1,9 +1,9 @@
-// Which hosts should keep claims, as the leader proposes it to the log.
+// Selects the hosts that keep claims; the leader proposes the set to the log.
 //
-// The set is agreed because two nodes with different views of who is alive would else ask different keepers, and a
-// request that may not be repeated would run twice. While the set changes both the old and the new keepers must grant,
-// which is slower and fails when either lacks a majority; so it changes rarely: a host that restarts stays in it, and
-// one that is gone is replaced only after it stayed away for long.
+// The set is replicated because nodes with different views of which hosts are alive would otherwise use different
+// keepers, and a request that must not be repeated would run twice. While the set changes, both the old and the new
+// keepers must grant a claim, which is slower and fails if either set lacks a majority. Therefore it changes rarely: a
+// host that restarts stays in the set, and a missing host is replaced only after keeperReplacementDelay.
 #pragma once
 
 #include "appletally/config/endpoint_registry.h"
@@ -15,30 +15,30 @@
 
 namespace appletally::control {
 
-// Fewer than three cannot lose one. More than nine gain nothing: each key asks three of them.
-constexpr size_t leastKeepers = 3;
-constexpr size_t mostKeepers = 9;
+// Fewer than three cannot tolerate the loss of one. More than nine bring no gain, since each key uses three keepers.
+constexpr size_t minKeepers = 3;
+constexpr size_t maxKeepers = 9;
 
-// The first set waits this long for further hosts, so that a mesh that starts does not begin with a change of it.
-constexpr base::Duration firstKeepersWait { 1000 };
+// The first set waits this long for further hosts, so that a starting mesh does not change the set right away.
+constexpr base::Duration firstKeepersDelay { 1000 };
 
-// A host that restarts is back within this; the two other keepers of a key decide meanwhile.
-constexpr base::Duration keeperGoneFor { 60'000 };
+// A restarting host is back within this time; meanwhile the two other keepers of a key decide.
+constexpr base::Duration keeperReplacementDelay { 60'000 };
 
 struct KeeperChoice {
-    std::vector<config::Keeper> wanted; // the members that would be better than the agreed ones
-    base::Time since; // unchanged since
+    std::vector<config::Keeper> candidates; // members preferred to the committed set
+    base::Time unchangedSince; // when `candidates` last changed
 };
 
-// The members to propose now, if any. `choice` is the caller's memory between calls.
+// Returns the members to propose now, if any. `choice` keeps state between calls.
 std::optional<std::vector<config::Keeper>> chooseKeepers(KeeperChoice& choice, const config::KeeperSet&, const config::EndpointRegistry&, base::Time now);
 
-// Whether the first set may be proposed: each member has a version in force, in which there were no keepers yet.
+// Whether the first set may be proposed: each member must have applied a version without keepers.
 //
-// A keeper that comes up with a set already agreed must take it that it has forgotten claims, and grants nothing until
-// the others have told it theirs. Were the first set agreed before the nodes had their first version, all keepers would
-// come up with it at once and wait for each other until the claims' window has passed; callers would get no keyed
-// request through for minutes. Who has seen "no keepers" knows that nothing can have been forgotten.
-bool firstSetMayForm(const std::vector<config::Keeper>&, const Convergence&);
+// A keeper whose first version already has a keeper set must assume that it lost claims, and grants none until the other
+// keepers have sent theirs. If the first set were committed before the nodes had their first version, all keepers would
+// wait for each other until the claim lifetime has passed, and keyed requests would fail for minutes. A node that has
+// applied a version without keepers knows that it cannot have lost a claim.
+bool mayProposeFirstSet(const std::vector<config::Keeper>&, const Convergence&);
 
 } // namespace appletally::control
--- a/src/appletally/control/metrics.cpp
+++ b/src/appletally/control/metrics.cpp
@@ -1,4 +1,4 @@
-// What a control process shows of itself in Prometheus' text format.
+// Metrics of a control process in Prometheus' text format.
 #include "appletally/base/metrics_text.h"
 #include "appletally/control/process.h"
 
@@ -64,11 +64,11 @@
         add("appletally_log_index", "what=\"released\"", replica.released.value);
     }
     add("appletally_control_links", "", static_cast<uint64_t>(std::count_if(m_peers.begin(), m_peers.end(), [](const auto& it) { return it->up(); })));
-    const size_t current = inForce(m_convergence, version);
+    const size_t current = countApplied(m_convergence, version);
     add("appletally_nodes", "newest=\"yes\"", current);
     add("appletally_nodes", "newest=\"no\"", m_convergence.nodes.size() - current);
     add("appletally_known_upstreams", "state=\"any\"", m_endpoints.entries.size());
-    add("appletally_answered_before_all_total", "", m_answeredBeforeAll);
+    add("appletally_answered_before_all_total", "", m_appliedTimeouts);
     add("appletally_subscribers", "", m_distributor.subscribers());
     add("appletally_source_isolated", "", m_distributor.isolated() ? 1 : 0);
     writeServiceMetrics(out, m_state.snapshot, config::readyUpstreams(m_endpoints));
--- a/src/appletally/control/peer_link.cpp
+++ b/src/appletally/control/peer_link.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-    // A peer that takes nothing must not fill this process's memory with appends that it will ask for again anyway.
-    constexpr size_t mostUnderWay = 256;
-    constexpr size_t mostUnderWayBytes = 4u << 20;
+    // Limits the memory for a peer that does not read; it requests dropped appends again anyway.
+    constexpr size_t maxInFlightMessages = 256;
+    constexpr size_t maxInFlightBytes = 4u << 20;
 
-    // Reports of many nodes leave as one message; the delay is part of an endpoint's way to the other nodes.
-    constexpr base::Duration sharePause { 10 };
+    // Batches the reports of many nodes into one message; the delay adds to the propagation time of endpoints.
+    constexpr base::Duration reportBatchDelay { 10 };
 
-    constexpr uint64_t patientEvery = 3; // connects; see patientConnectLimit
+    constexpr uint64_t patientConnectInterval = 3; // every n-th connect uses patientConnectLimit
 
-    // Voters find each other again quickly: until then a leader may lack its majority.
-    constexpr int mostCountedFailures = 1; // waits of at most 200 ms; there are a dozen control processes and no herd
+    // Voters must reconnect quickly, because a leader may lack its majority until then.
+    constexpr int maxBackoffFailures = 1; // keeps waits at 200 ms or less; about a dozen control processes are no thundering herd
 
 } // namespace
 
@@ -43,95 +43,95 @@
 
 kj::Promise<void> PeerLink::run()
 {
-    const bool patient = ++m_connects % patientEvery == 0;
+    const bool patient = ++m_connects % patientConnectInterval == 0;
     return inner::connect(m_io, m_membership, m_peer.address, inner::rpc::Role::PEER, patient ? inner::patientConnectLimit : inner::connectLimit)
         .then([this](base::Result<kj::Own<inner::RpcLink>> linked) -> kj::Promise<base::Error> {
             if (!linked)
                 return linked.error();
             m_link = kj::mv(linked.value());
             m_session = m_link->session.castAs<inner::rpc::Peer>();
-            m_tasks->add(introduce());
+            m_tasks->add(handshake());
             return inner::whenOver(*m_link);
         })
         .then([this](const base::Error& problem) {
-            lost(problem);
-            m_backoff.failures = std::min(m_backoff.failures, mostCountedFailures);
+            onLinkLost(problem);
+            m_backoff.failures = std::min(m_backoff.failures, maxBackoffFailures);
             return m_timer.afterDelay(policy::waitAfterFailure(m_backoff, std::nullopt, inner::randomNumber()).ms * kj::MILLISECONDS);
         })
         .then([this] { return run(); });
 }
 
-kj::Promise<void> PeerLink::introduce()
+kj::Promise<void> PeerLink::handshake()
 {
-    return recorded().then([this](const RecordedAnswer& answer) {
+    return requestRecordedCommit().then([this](const RecordedAnswer& answer) {
         m_replica = answer.replica;
         m_ready = true;
         policy::succeeded(m_backoff);
         m_connects = 0;
         base::logEvent(base::Event::LinkUp, m_peer.host.text + " at " + m_peer.address.text());
         m_pending = m_hooks.ownReports();
-        sendShare();
+        sendPendingReports();
         m_hooks.up(m_peer.host);
     });
 }
 
-void PeerLink::lost(const base::Error& problem)
+void PeerLink::onLinkLost(const base::Error& problem)
 {
     if (m_ready)
         base::logEvent(base::Event::LinkDown, m_peer.host.text + ": " + problem.text);
     m_ready = false;
     m_replica = {};
-    m_underWay = 0;
-    m_underWayBytes = 0;
-    m_sharing = false;
+    m_inFlightMessages = 0;
+    m_inFlightBytes = 0;
+    m_sendingReport = false;
     m_pending = {};
     m_tasks = kj::heap<kj::TaskSet>(*this);
     m_session = nullptr;
     m_link = nullptr;
 }
 
-void PeerLink::consensus(const consensus::Message& message)
+void PeerLink::sendConsensus(const consensus::Message& message)
 {
     const std::string bytes = consensus::encode(message);
-    if (!m_ready || m_underWay >= mostUnderWay || (m_underWay != 0 && m_underWayBytes + bytes.size() > mostUnderWayBytes)) {
-        ++m_dropped;
+    if (!m_ready || m_inFlightMessages >= maxInFlightMessages || (m_inFlightMessages != 0 && m_inFlightBytes + bytes.size() > maxInFlightBytes)) {
+        ++m_droppedMessages;
         return;
     }
-    ++m_underWay;
-    m_underWayBytes += bytes.size();
-    auto ask = m_session.consensusRequest();
-    ask.setMessage(inner::toData(bytes));
-    m_tasks->add(ask.send().ignoreResult().then([this, n = bytes.size()] {
-        --m_underWay;
-        m_underWayBytes -= n;
+    ++m_inFlightMessages;
+    m_inFlightBytes += bytes.size();
+    auto request = m_session.consensusRequest();
+    request.setMessage(inner::toData(bytes));
+    m_tasks->add(request.send().ignoreResult().then([this, n = bytes.size()] {
+        --m_inFlightMessages;
+        m_inFlightBytes -= n;
     }));
 }
 
-void PeerLink::share(const inner::NodeReport& report)
+void PeerLink::queueReport(const inner::NodeReport& report)
 {
     if (!m_ready)
-        return; // a new link is told everything
+        return; // a new link starts with all reports, see handshake()
     add(m_pending, report);
-    sendShare();
+    sendPendingReports();
 }
 
-void PeerLink::sendShare()
+void PeerLink::sendPendingReports()
 {
-    if (m_sharing || m_pending.empty())
+    if (m_sendingReport || m_pending.empty())
         return;
-    m_sharing = true;
-    m_tasks->add(m_timer.afterDelay(sharePause.ms * kj::MILLISECONDS).then([this] {
-                                                                         auto ask = m_session.shareRequest();
-                                                                         inner::write(ask.initReport(), toReport(std::exchange(m_pending, {})));
-                                                                         return ask.send().ignoreResult();
-                                                                     })
+    m_sendingReport = true;
+    m_tasks->add(m_timer.afterDelay(reportBatchDelay.ms * kj::MILLISECONDS).then([this] {
+                                                                               auto request = m_session.shareRequest();
+                                                                               inner::write(request.initReport(), toReport(std::exchange(m_pending, {})));
+                                                                               return request.send().ignoreResult();
+                                                                           })
                      .then([this] {
-                         m_sharing = false;
-                         sendShare();
+                         m_sendingReport = false;
+                         sendPendingReports();
                      }));
 }
 
-kj::Promise<RecordedAnswer> PeerLink::recorded()
+kj::Promise<RecordedAnswer> PeerLink::requestRecordedCommit()
 {
     KJ_REQUIRE(m_link.get() != nullptr, "no link");
     return m_session.recordedRequest().send().then([](auto&& answer) {
@@ -145,32 +145,32 @@
     });
 }
 
-kj::Promise<base::Result<base::ConfigVersion>> PeerLink::released(base::LogIndex index)
+kj::Promise<base::Result<base::ConfigVersion>> PeerLink::requestReleasedVersion(base::LogIndex index)
 {
     KJ_REQUIRE(m_ready, "no link");
-    auto ask = m_session.releasedRequest();
-    ask.setIndex(index.value);
-    return ask.send().then([](auto&& answer) -> base::Result<base::ConfigVersion> {
+    auto request = m_session.releasedRequest();
+    request.setIndex(index.value);
+    return request.send().then([](auto&& answer) -> base::Result<base::ConfigVersion> {
         if (inner::failed(answer.getFailure()))
             return inner::read(answer.getFailure());
         return base::ConfigVersion { answer.getVersion() };
     });
 }
 
-kj::Promise<ChangeAnswer> PeerLink::forward(const std::string& command)
+kj::Promise<ChangeResult> PeerLink::forward(const std::string& command)
 {
     KJ_REQUIRE(m_ready, "no link");
-    auto ask = m_session.forwardRequest();
-    ask.setCommand(inner::toData(command));
-    return ask.send().then([](auto&& answer) {
-        return ChangeAnswer { inner::read(answer.getFailure()), { answer.getVersion() }, inner::text(answer.getText()) };
+    auto request = m_session.forwardRequest();
+    request.setCommand(inner::toData(command));
+    return request.send().then([](auto&& answer) {
+        return ChangeResult { inner::read(answer.getFailure()), { answer.getVersion() }, inner::text(answer.getText()) };
     });
 }
 
 nlohmann::json PeerLink::toJson() const
 {
     return { { "host", m_peer.host.text }, { "address", m_peer.address.text() }, { "up", m_ready }, { "replica", m_replica.value },
-        { "under_way", m_underWay }, { "dropped", m_dropped }, { "failures", m_backoff.failures } };
+        { "under_way", m_inFlightMessages }, { "dropped", m_droppedMessages }, { "failures", m_backoff.failures } };
 }
 
 } // namespace appletally::control
--- a/src/appletally/control/peer_link.h
+++ b/src/appletally/control/peer_link.h
@@ -1,7 +1,7 @@
-// The link that this control process keeps to one other: consensus messages, shared reports, questions.
+// Outgoing link from this control process to one other: consensus messages, node reports and requests.
 //
-// Each pair of control processes has two links, one from each side, and each sends on its own. A link that ends is
-// made anew at a random moment; what consensus sent meanwhile is dropped, since its messages may be lost anyway.
+// Each pair of control processes has two links, one opened by each side, and each side sends on its own link. A lost link
+// is reopened after a random delay. Consensus messages are dropped meanwhile, since consensus tolerates message loss.
 #pragma once
 
 #include "appletally/consensus/released.h"
@@ -16,22 +16,22 @@
 
 namespace appletally::control {
 
-// What came of an operator's change.
-struct ChangeAnswer {
-    base::Error failure { base::Code::Ok, {}, {} }; // code Ok: done
-    base::ConfigVersion version; // that it made, or that is current
-    std::string text; // rollout id, or what else there is to say
+// Result of an operator's change.
+struct ChangeResult {
+    base::Error failure { base::Code::Ok, {}, {} }; // code Ok: success
+    base::ConfigVersion version; // created by the change, or else the current one
+    std::string text; // rollout id or further information
 };
 
-// A replica's answer for a boot proof. Not a voter: `boot` is empty, the id is still told.
+// A replica's answer for a boot proof. `boot` is empty if the replica is not a voter; the id is set in any case.
 struct RecordedAnswer {
     base::ReplicaId replica;
     std::optional<consensus::BootAnswer> boot;
 };
 
 struct PeerHooks {
-    std::function<void(const base::HostId&)> up; // once its replica is known
-    std::function<PendingReport()> ownReports; // what a peer that has just come must be told
+    std::function<void(const base::HostId&)> up; // called once the peer's replica id is known
+    std::function<PendingReport()> ownReports; // sent to a peer when its link comes up
 };
 
 class PeerLink : public kj::TaskSet::ErrorHandler {
@@ -42,22 +42,22 @@
     bool up() const { return m_ready; }
     base::ReplicaId replica() const { return m_replica; } // 0: unknown, or a relay
 
-    void consensus(const consensus::Message&); // dropped if the link is down or too much is under way
-    void share(const inner::NodeReport&);
+    void sendConsensus(const consensus::Message&); // dropped if the link is down or too many are in flight
+    void queueReport(const inner::NodeReport&);
 
-    // These reject when the link ends.
-    kj::Promise<RecordedAnswer> recorded();
-    kj::Promise<base::Result<base::ConfigVersion>> released(base::LogIndex);
-    kj::Promise<ChangeAnswer> forward(const std::string& command);
+    // These promises are rejected when the link ends.
+    kj::Promise<RecordedAnswer> requestRecordedCommit();
+    kj::Promise<base::Result<base::ConfigVersion>> requestReleasedVersion(base::LogIndex);
+    kj::Promise<ChangeResult> forward(const std::string& command);
 
     nlohmann::json toJson() const;
 
 private:
     void taskFailed(kj::Exception&&) override;
     kj::Promise<void> run();
-    kj::Promise<void> introduce();
-    void lost(const base::Error&);
-    void sendShare();
+    kj::Promise<void> handshake();
+    void onLinkLost(const base::Error&);
+    void sendPendingReports();
 
     kj::AsyncIoContext& m_io;
     kj::Timer& m_timer;
@@ -69,12 +69,12 @@
     bool m_ready = false;
     base::ReplicaId m_replica;
     policy::Backoff m_backoff;
-    uint64_t m_connects = 0; // in a row, without a link
-    size_t m_underWay = 0; // consensus messages not yet taken by the peer
-    size_t m_underWayBytes = 0;
-    uint64_t m_dropped = 0; // consensus messages
+    uint64_t m_connects = 0; // consecutive attempts without a link
+    size_t m_inFlightMessages = 0; // consensus messages that the peer has not acknowledged
+    size_t m_inFlightBytes = 0;
+    uint64_t m_droppedMessages = 0; // consensus messages
     PendingReport m_pending;
-    bool m_sharing = false;
+    bool m_sendingReport = false;
     kj::Own<kj::TaskSet> m_tasks; // of the current link
     kj::Promise<void> m_running = nullptr;
 };
--- a/src/appletally/control/process.cpp
+++ b/src/appletally/control/process.cpp
@@ -1,4 +1,4 @@
-// Putting a control process together, and the way of a version through it.
+// Construction of a control process, its log hooks, the release of versions, and reports.
 #include "appletally/control/process.h"
 
 #include "appletally/base/log.h"
@@ -9,22 +9,22 @@
 
 namespace {
 
-    // A peer that lacks a record, for whatever reason, has it after at most 16 s.
-    constexpr uint64_t wholeRecordEvery = 8;
+    // Every n-th heartbeat sends the full record, so a peer that lacks it gets it within 16 s.
+    constexpr uint64_t fullRecordInterval = 8;
 
-    // A version that is this far behind what the log hands out in the same step is not worth a copy.
-    constexpr uint64_t mostSkipped = 2;
+    // A version further behind the applied log index is not copied, since later ones follow in the same step.
+    constexpr uint64_t maxSkippedVersions = 2;
 
-    constexpr size_t keptOutcomes = 256; // proposals under way are a handful; answers are looked up right after
+    constexpr size_t maxKeptOutcomes = 256; // few proposals are pending at a time, and outcomes are read right after they are applied
 
-    // A voter that is behind catches up within a heartbeat or two; longer means that it has lost the others.
-    constexpr base::Duration releaseLimit { 1000 };
+    // A voter that is behind catches up within one or two heartbeats; after longer it has lost its links to the others.
+    constexpr base::Duration releaseTimeout { 1000 };
 
-    policy::Gate startsGate(const ControlSettings& settings)
+    policy::Gate makeAdmissionGate(const ControlSettings& settings)
     {
         policy::Gate out;
         out.perSecond = settings.startsPerSecond;
-        out.burst = settings.startsAtOnce;
+        out.burst = settings.startBurst;
         return out;
     }
 
@@ -34,17 +34,17 @@
     : m_io(io)
     , m_timer(io.provider->getTimer())
     , m_settings(std::move(settings))
-    , m_distributor(m_timer, { startsGate(m_settings), m_settings.mostSubscribers, m_settings.batching }, m_endpoints)
+    , m_distributor(m_timer, { makeAdmissionGate(m_settings), m_settings.maxSubscribers, m_settings.batching }, m_endpoints)
     , m_tasks(kj::heap<kj::TaskSet>(*this))
-    , m_port(io, m_settings.membership, [this](inner::rpc::Role role, const base::HostId& who) { return makeSession(*this, role, who); })
+    , m_port(io, m_settings.membership, [this](inner::rpc::Role role, const base::HostId& host) { return makeSession(*this, role, host); })
 {
     m_endpoints.id = inner::randomNumber();
-    m_documentTurn = kj::Promise<void>(kj::READY_NOW).fork();
+    m_documentQueue = kj::Promise<void>(kj::READY_NOW).fork();
     makeLinks();
     if (disk)
         makeReplica(std::move(*disk));
     else
-        makeUpstream();
+        makeSourceClient();
     m_tasks->add(housekeeping());
 }
 
@@ -53,32 +53,32 @@
 void ControlProcess::taskFailed(kj::Exception&& problem)
 {
     if (problem.getType() != kj::Exception::Type::DISCONNECTED)
-        base::logEvent(base::Event::LinkDown, "control's task: " + inner::describe(problem));
+        base::logEvent(base::Event::LinkDown, "a task of the control process failed: " + inner::describe(problem));
 }
 
 base::Result<base::Address> ControlProcess::listen()
 {
-    m_enoughPeersAt = base::steadyNow(); // applying the log may have taken long; nobody could be reached meanwhile
+    m_lastConnectedAt = base::steadyNow(); // no peer was reachable while the log was applied, which may have taken long
     return m_port.listen(m_settings.listen);
 }
 
-// --- Parts ---
+// --- Construction ---
 
 void ControlProcess::makeLinks()
 {
-    if (!findsPeers()) {
+    if (!discoversPeers()) {
         for (const auto* peers : { &m_settings.voters, &m_settings.relays }) {
             for (const ControlPeer& it : *peers)
                 linkTo(it);
         }
     }
     for (const base::Address& it : m_settings.seeds)
-        learnPeer({ it.text() });
+        addPeer({ it.text() });
     m_bootReads = std::make_unique<BootReads>(
         m_timer, [this] { return possibleVoters(); }, [this]() -> std::optional<consensus::BootAnswer> { return m_replica && !m_replica->stopped() ? consensus::bootAnswer(m_replica->replica()) : std::nullopt; },
         [this](base::LogIndex it) {
             if (m_replica)
-                releasedUpTo(it);
+                onReleased(it);
         });
 }
 
@@ -90,9 +90,9 @@
     m_peers.push_back(std::make_unique<PeerLink>(m_io, m_settings.membership, peer, hooks));
 }
 
-// Everyone keeps the links that it has learnt of: seeds are only a way to meet the first of the others, and may be wrong,
-// gone or cut off later.
-void ControlProcess::learnPeer(const base::HostId& host)
+// Links to discovered peers are kept: seeds only serve to find the first peers, and may be wrong, removed or unreachable
+// later.
+void ControlProcess::addPeer(const base::HostId& host)
 {
     const bool known = std::any_of(m_peers.begin(), m_peers.end(), [&](const auto& it) { return it->host() == host; });
     const auto address = base::parseAddress(host.text);
@@ -103,16 +103,16 @@
 void ControlProcess::addSeeds(const std::vector<base::Address>& seeds)
 {
     for (const base::Address& it : seeds)
-        learnPeer({ it.text() });
+        addPeer({ it.text() });
 }
 
-void ControlProcess::learnMembers()
+void ControlProcess::addMemberPeers()
 {
-    if (!findsPeers() || !m_replica)
+    if (!discoversPeers() || !m_replica)
         return;
     std::vector<std::string> sources;
     for (const consensus::Member& it : consensus::latestMembers(m_replica->replica()).list) {
-        learnPeer(it.host);
+        addPeer(it.host);
         sources.push_back(it.host.text);
     }
     m_distributor.setSources(std::move(sources));
@@ -122,7 +122,7 @@
 {
     std::vector<PeerLink*> out;
     for (const auto& it : m_peers) {
-        if (findsPeers())
+        if (discoversPeers())
             out.push_back(it.get());
     }
     for (const auto& it : m_peers) {
@@ -142,10 +142,10 @@
     hooks.restore = [this](const consensus::Snapshot& it) { restore(it); };
     hooks.apply = [this](const consensus::Entry& it) { apply(it); };
     hooks.state = [this] { return config::encode(m_state); };
-    hooks.released = [this](base::LogIndex it) { releasedUpTo(it); };
+    hooks.released = [this](base::LogIndex it) { onReleased(it); };
     hooks.leads = [this](bool leads) {
         m_leading = leads;
-        m_leadClock = base::anchorNow();
+        m_leaderClock = base::anchorNow();
         m_rollouts = {};
         m_lostVoters = {};
         m_keeperChoice = {};
@@ -153,7 +153,7 @@
         base::logEvent(leads ? base::Event::BecameLeader : base::Event::LostLeadership, "term " + std::to_string(m_replica->replica().state.term.value));
     };
     consensus::Config config;
-    config.oneReplicaPerHost = findsPeers();
+    config.oneReplicaPerHost = discoversPeers();
     config.mostVoters = m_settings.maxVoters;
     m_replica = std::make_unique<ReplicaDriver>(m_timer, std::move(disk), config, std::move(hooks));
     m_replaying = true;
@@ -163,33 +163,33 @@
         logVersion();
 }
 
-void ControlProcess::makeUpstream()
+void ControlProcess::makeSourceClient()
 {
     inner::SourceClientSettings settings { m_settings.membership, {}, inner::rpc::Role::PEER };
     for (const ControlPeer& it : m_settings.voters)
         settings.sources.push_back(it.address);
     inner::SourceClientHooks hooks;
     hooks.released = [this](std::shared_ptr<const config::Snapshot> it) {
-        accepted(m_convergence, it->version, base::steadyNow());
+        recordAccepted(m_convergence, it->version, base::steadyNow());
         base::logEvent(base::Event::VersionReleased, "version " + std::to_string(it->version.value));
         m_distributor.contentReleased(std::move(it));
-        releasedUpTo({}); // wakes those that wait for a version
+        onReleased({}); // completes pending waitForRelease() calls
     };
-    m_upstream = std::make_unique<inner::SourceClient>(m_io, std::move(settings), std::move(hooks));
+    m_sourceClient = std::make_unique<inner::SourceClient>(m_io, std::move(settings), std::move(hooks));
 }
 
 bool ControlProcess::knowsMembers() const { return !m_replica || !consensus::latestMembers(m_replica->replica()).list.empty(); }
 
 bool ControlProcess::admitsPeer(const base::HostId& host)
 {
-    if (findsPeers())
-        learnPeer(host);
+    if (discoversPeers())
+        addPeer(host);
     return std::any_of(m_peers.begin(), m_peers.end(), [&](const auto& it) { return it->host() == host; });
 }
 
 // --- The log ---
 
-void ControlProcess::consensusMessage(consensus::Message message)
+void ControlProcess::onConsensusMessage(consensus::Message message)
 {
     if (m_replica)
         m_replica->received(std::move(message));
@@ -199,7 +199,7 @@
 {
     for (const auto& it : m_peers) {
         if (it->replica() == message.to)
-            it->consensus(message);
+            it->sendConsensus(message);
     }
 }
 
@@ -208,15 +208,15 @@
     if (!snapshot.data)
         return;
     auto state = config::decodeState(*snapshot.data);
-    if (!state) { // its checksum held: written by a version of this program that this one cannot read
-        base::logEvent(base::Event::LogFileDamaged, "the snapshot's state cannot be read: " + state.error().text);
+    if (!state) { // its checksum matches: it was written by an incompatible version of this program
+        base::logEvent(base::Event::LogFileDamaged, "cannot decode the state of the snapshot: " + state.error().text);
         return;
     }
     m_state = std::move(state.value());
     m_state.snapshot.sum = { config::contentHash(m_state.snapshot), true };
     m_appliedIndex = snapshot.meta.index;
-    noteVersion();
-    releasedUpTo({});
+    recordVersion();
+    onReleased({});
 }
 
 void ControlProcess::apply(const consensus::Entry& entry)
@@ -224,46 +224,46 @@
     if (entry.kind == consensus::EntryKind::Data)
         applyChange(entry);
     m_appliedIndex = entry.index;
-    releasedUpTo({}); // what is released may have been told before the entry came
+    onReleased({}); // the entry may have been reported as released before it arrived
 }
 
 void ControlProcess::applyChange(const consensus::Entry& entry)
 {
-    keepUnreleased();
+    copyUnreleased();
     const base::ConfigVersion before = m_state.snapshot.version;
     const RolloutsById rollouts = m_state.snapshot.rollouts;
     config::Outcome outcome = config::apply(m_state, entry.index, entry.data);
     if (outcome.code != base::Code::Ok)
         base::logEvent(base::Event::SubmitRefused, outcome.text);
     m_outcomes[entry.index] = std::move(outcome);
-    if (m_outcomes.size() > keptOutcomes)
+    if (m_outcomes.size() > maxKeptOutcomes)
         m_outcomes.erase(m_outcomes.begin());
     if (m_state.snapshot.version == before)
         return;
-    noteVersion();
+    recordVersion();
     if (!m_replaying)
-        noteRollouts(rollouts);
+        logRolloutChanges(rollouts);
 }
 
-// Versions are copied out of the state only when they are handed out, or when they may be and the next one comes: a
-// process that starts again applies hundreds of entries of which nobody wants any but the last.
-void ControlProcess::keepUnreleased()
+// A version is copied only when it is released, or when it may still be released and the next change arrives. A restarting
+// process applies hundreds of entries, of which only the last version is needed.
+void ControlProcess::copyUnreleased()
 {
     const auto newest = m_unreleased.find(m_state.snapshot.version);
     if (newest == m_unreleased.end() || newest->second)
         return;
-    if (m_replica && m_replica->replica().applied.value > newest->first.value + mostSkipped)
-        m_unreleased.erase(newest); // replaying: many more follow at once
+    if (m_replica && m_replica->replica().applied.value > newest->first.value + maxSkippedVersions)
+        m_unreleased.erase(newest); // replaying the log: later versions follow at once
     else
         newest->second = std::make_shared<config::Snapshot>(m_state.snapshot);
 }
 
-// Each replica logs what became of rollouts, so that the story is whole wherever the leader was.
-void ControlProcess::noteRollouts(const RolloutsById& before)
+// Every replica logs rollout changes, so that its log is complete whichever replica was the leader.
+void ControlProcess::logRolloutChanges(const RolloutsById& before)
 {
     for (const auto& [id, it] : m_state.snapshot.rollouts) {
         auto old = before.find(id);
-        const std::string text = id.text + ": " + std::to_string(it.share.value) + " per mille for " + it.to.text + "; " + describeReady(it);
+        const std::string text = id.text + ": " + std::to_string(it.share.value) + " per mille for " + it.to.text + "; " + describeReadyUpstreams(it);
         if (old == before.end())
             base::logEvent(base::Event::RolloutStarted, text);
         else if (old->second.share < it.share)
@@ -276,11 +276,11 @@
         const bool completed = record.end == config::RolloutEnd::Completed;
         const bool takenBack = record.end == config::RolloutEnd::TakenBack;
         const base::Event event = completed ? base::Event::RolloutCompleted : (takenBack ? base::Event::RolloutTakenBack : base::Event::RolloutStopped);
-        base::logEvent(event, id.text + ": " + record.why + "; " + describeReady(it));
+        base::logEvent(event, id.text + ": " + record.why + "; " + describeReadyUpstreams(it));
     }
 }
 
-std::string ControlProcess::describeReady(const config::Rollout& it) const
+std::string ControlProcess::describeReadyUpstreams(const config::Rollout& it) const
 {
     config::ReadyByVersion ready = config::readyUpstreams(m_endpoints, it.service);
     return "ready upstreams: " + std::to_string(ready[it.to]) + " of " + it.to.text + ", " + std::to_string(ready[it.from]) + " of " + it.from.text;
@@ -292,18 +292,18 @@
     base::logEvent(base::Event::VersionAccepted, "version " + std::to_string(m_state.snapshot.version.value) + what);
 }
 
-void ControlProcess::noteVersion()
+void ControlProcess::recordVersion()
 {
     const base::ConfigVersion version = m_state.snapshot.version;
     if (version.value == 0)
         return;
     m_unreleased[version] = nullptr;
-    accepted(m_convergence, version, base::steadyNow());
+    recordAccepted(m_convergence, version, base::steadyNow());
     if (!m_replaying)
         logVersion();
 }
 
-void ControlProcess::releasedUpTo(base::LogIndex index)
+void ControlProcess::onReleased(base::LogIndex index)
 {
     m_releasedIndex = std::max(m_releasedIndex, index);
     const base::Time now = base::steadyNow();
@@ -313,7 +313,7 @@
         if (!newest)
             newest = std::make_shared<config::Snapshot>(m_state.snapshot);
         for (auto it = m_unreleased.begin(); it != end; ++it)
-            control::released(m_convergence, it->first, now);
+            control::recordReleased(m_convergence, it->first, now);
         m_unreleased.erase(m_unreleased.begin(), end);
         base::logEvent(base::Event::VersionReleased, "version " + std::to_string(newest->version.value));
         m_distributor.contentReleased(newest);
@@ -321,8 +321,8 @@
     wakeReleaseWaiters();
 }
 
-// Only once the state has got there: a replica that was away hears what is released before it has the entries, and told the
-// version that it has by then, a node would start below what it had before.
+// Waits for the applied index as well: a replica that catches up receives the released index before the entries. If it
+// answered with its present version, a node could start with an older version than it had before.
 void ControlProcess::wakeReleaseWaiters()
 {
     const base::ConfigVersion version = m_distributor.content() ? m_distributor.content()->version : base::ConfigVersion {};
@@ -334,33 +334,33 @@
     });
 }
 
-kj::Promise<base::Result<base::ConfigVersion>> ControlProcess::released(base::LogIndex index)
+kj::Promise<base::Result<base::ConfigVersion>> ControlProcess::waitForRelease(base::LogIndex index)
 {
-    auto asked = kj::newPromiseAndFulfiller<base::Result<base::ConfigVersion>>();
-    m_releaseWaiters.push_back({ index, kj::mv(asked.fulfiller) });
-    releasedUpTo({}); // it may be already
-    return asked.promise.exclusiveJoin(m_timer.afterDelay(releaseLimit.ms * kj::MILLISECONDS).then([this]() -> base::Result<base::ConfigVersion> {
+    auto waiter = kj::newPromiseAndFulfiller<base::Result<base::ConfigVersion>>();
+    m_releaseWaiters.push_back({ index, kj::mv(waiter.fulfiller) });
+    onReleased({}); // may already be released
+    return waiter.promise.exclusiveJoin(m_timer.afterDelay(releaseTimeout.ms * kj::MILLISECONDS).then([this]() -> base::Result<base::ConfigVersion> {
         std::erase_if(m_releaseWaiters, [](ReleaseWaiter& it) { return !it.fulfiller->isWaiting(); });
-        return base::fail(base::Code::NoQuorum, "this process is behind what the voters recorded");
+        return base::fail(base::Code::NoQuorum, "this process has not caught up with the commit index that the voters recorded");
     }));
 }
 
-kj::Promise<base::Result<base::ConfigVersion>> ControlProcess::bootFloor()
+kj::Promise<base::Result<base::ConfigVersion>> ControlProcess::minBootVersion()
 {
     using Answer = base::Result<base::ConfigVersion>;
     return m_bootReads->read().then([this](base::Result<base::LogIndex> index) -> kj::Promise<Answer> {
         if (!index)
             return Answer(index.error());
         if (m_replica)
-            return released(index.value());
-        // A relay knows versions, not log indexes: a voter turns one into the other.
+            return waitForRelease(index.value());
+        // A relay knows versions, not log indexes; a voter translates the index into a version.
         for (PeerLink* it : possibleVoters()) {
             if (!it->up())
                 continue;
-            return it->released(index.value()).then([this](Answer version) -> kj::Promise<Answer> {
+            return it->requestReleasedVersion(index.value()).then([this](Answer version) -> kj::Promise<Answer> {
                 if (!version)
                     return version;
-                return released({ version.value().value });
+                return waitForRelease({ version.value().value });
             });
         }
         return Answer(base::fail(base::Code::NoQuorum, "no voter is linked"));
@@ -369,26 +369,26 @@
 
 // --- Reports ---
 
-void ControlProcess::nodeReport(const inner::NodeReport& report)
+void ControlProcess::onNodeReport(const inner::NodeReport& report)
 {
-    add(m_own, report);
-    const inner::NodeReport shared = forPeers(report); // before the registry knows it
+    add(m_localReports, report);
+    const inner::NodeReport shared = reportForPeers(report); // before applyReport() updates the registry
     for (const auto& it : m_peers)
-        it->share(shared);
-    take(report);
+        it->queueReport(shared);
+    applyReport(report);
 }
 
-void ControlProcess::peerReport(const inner::NodeReport& report) { take(report); }
+void ControlProcess::onPeerReport(const inner::NodeReport& report) { applyReport(report); }
 
-// Peers need a record only where it is new; else the sign of life will do, at a fifth of the bytes.
-inner::NodeReport ControlProcess::forPeers(const inner::NodeReport& report) const
+// Peers need a record only if it is new; otherwise a renewal is enough, at a fifth of the size.
+inner::NodeReport ControlProcess::reportForPeers(const inner::NodeReport& report) const
 {
     inner::NodeReport out { {}, report.inForce, report.evidence, {} };
     for (const inner::EndpointSign& it : report.endpoints) {
         auto known = m_endpoints.entries.find(it.endpoint.host);
         const bool same = known != m_endpoints.entries.end() && !known->second.ranOut && known->second.endpoint.incarnation == it.endpoint.incarnation
             && known->second.endpoint.sequence == it.endpoint.sequence;
-        if (same && it.beat % wholeRecordEvery != 0)
+        if (same && it.beat % fullRecordInterval != 0)
             out.renewals.push_back({ it.endpoint.host, it.endpoint.incarnation, it.endpoint.sequence, it.beat });
         else
             out.endpoints.push_back(it);
@@ -396,7 +396,7 @@
     return out;
 }
 
-void ControlProcess::take(const inner::NodeReport& report)
+void ControlProcess::applyReport(const inner::NodeReport& report)
 {
     const base::Time now = base::steadyNow();
     const uint64_t before = m_endpoints.lastChange;
@@ -406,14 +406,14 @@
         config::renew(m_endpoints, it, now);
     if (m_endpoints.lastChange != before)
         m_distributor.endpointsChanged();
-    heard(m_convergence, report.inForce, now);
-    wakeInForceWaiters();
+    recordReports(m_convergence, report.inForce, now);
+    wakeAppliedWaiters();
     inner::NodeReport evidence;
     evidence.evidence = report.evidence;
-    add(m_all, evidence);
+    add(m_allEvidence, evidence);
     onEvidence(m_rollouts, m_state, report.evidence);
 }
 
-PendingReport ControlProcess::ownReports() const { return m_own; }
+PendingReport ControlProcess::ownReports() const { return m_localReports; }
 
 } // namespace appletally::control
--- a/src/appletally/control/process.h
+++ b/src/appletally/control/process.h
@@ -1,9 +1,9 @@
-// One control process, voter or relay: a single KJ loop that owns the replica, the agreed state, the links to the other
-// control processes, and everything that nodes take from it.
+// One control process, voter or relay: a single KJ loop that owns the replica, the replicated state, the links to the
+// other control processes, and everything that is distributed to nodes.
 //
-// A voter's agreed state runs ahead of what it hands out: a version goes to subscribers only once the log says that a
-// majority of voters has recorded it as committed ("released"). See consensus/released.h for why no restarted node can
-// then start below what any node had.
+// The replicated state of a voter is ahead of what it distributes: a version is sent to subscribers only after a majority
+// of voters has durably recorded it as committed ("released"). See consensus/released.h for why a restarted node then
+// cannot start with an older version than any node had.
 #pragma once
 
 #include "appletally/config/endpoint_registry.h"
@@ -25,45 +25,45 @@
 
 class ControlProcess : public kj::TaskSet::ErrorHandler {
 public:
-    // A voter has its opened disk log, a relay none.
+    // The disk log is that of a voter; a relay has none.
     ControlProcess(kj::AsyncIoContext&, ControlSettings, std::optional<consensus::DiskLog>);
     ~ControlProcess();
 
     base::Result<base::Address> listen();
     void stopListening() { m_port.stopListening(); }
-    size_t changesUnderWay() const { return m_changesUnderWay; }
+    size_t pendingChanges() const { return m_pendingChanges; }
 
     // --- For the sessions ---
 
     Distributor& distributor() { return m_distributor; }
-    bool knowsMembers() const; // false: a replica that nobody has let in yet, with nothing to hand out
-    void nodeReport(const inner::NodeReport&); // from a node that is linked to this process
-    void peerReport(const inner::NodeReport&); // from another control process
-    kj::Promise<base::Result<base::ConfigVersion>> bootFloor();
-    kj::Promise<base::Result<base::ConfigVersion>> released(base::LogIndex); // waits until it is
-    void consensusMessage(consensus::Message);
+    bool knowsMembers() const; // false: this replica has not been added to the log yet and has nothing to distribute
+    void onNodeReport(const inner::NodeReport&); // from a node linked to this process
+    void onPeerReport(const inner::NodeReport&); // from another control process
+    kj::Promise<base::Result<base::ConfigVersion>> minBootVersion();
+    kj::Promise<base::Result<base::ConfigVersion>> waitForRelease(base::LogIndex); // resolves once it is; NoQuorum after a timeout
+    void onConsensusMessage(consensus::Message);
     const consensus::Replica* replica() const { return m_replica ? &m_replica->replica() : nullptr; }
-    kj::Promise<ChangeAnswer> change(const std::string& command, bool forwarded);
+    kj::Promise<ChangeResult> submitChange(const std::string& command, bool forwarded);
     kj::Promise<base::Result<void>> replaceVoter(base::ReplicaId old, base::ReplicaId fresh);
     kj::Promise<base::Result<std::string>> read(const std::string& what); // JSON
-    bool admitsPeer(const base::HostId&); // with seeds also learns of it
+    bool admitsPeer(const base::HostId&); // with seeds, also opens a link to it
 
-    // --- For an operators' port of another kind (control/documents.cpp). All of them only on the leader: NotLeader else ---
+    // --- For an operators' port with another protocol (control/documents.cpp). Requests fail with NotLeader unless this process leads ---
 
     std::string metrics() const; // in Prometheus' text format
     bool leads() const { return m_replica && m_leading; }
-    base::WallTime leadNow() const { return base::wallAt(m_leadClock, base::steadyNow()); }
-    base::HostId leaderHost() const; // empty: none known
-    void addSeeds(const std::vector<base::Address>&); // the settings name further ones
-    // Resolves once the document is agreed on and in force at every node in reach, or has been agreed on for so long that
-    // those that lack it are out of reach. VersionConflict, AnswersInvalid, DanglingReference; others: outcome unknown.
+    base::WallTime leaderTime() const { return base::wallAt(m_leaderClock, base::steadyNow()); }
+    base::HostId leaderHost() const; // empty: unknown
+    void addSeeds(const std::vector<base::Address>&); // after a reload of the settings
+    // Resolves once the document is committed and applied by every reachable node, or after a timeout since the commit.
+    // Errors: VersionConflict, AnswersInvalid, DanglingReference; with any other error the outcome is unknown.
     kj::Promise<base::Result<void>> submitDocument(config::Document);
     kj::Promise<base::Result<void>> moveTraffic(config::MoveTraffic); // `from` is filled in
-    // The agreed state with all that was accepted before the question; good until control returns to the loop.
+    // Linearizable read of the replicated state. The pointer is valid until control returns to the event loop.
     kj::Promise<base::Result<const config::State*>> committedState();
 
 private:
-    struct InForceWaiter {
+    struct AppliedWaiter {
         base::ConfigVersion version;
         kj::Own<kj::PromiseFulfiller<void>> fulfiller;
     };
@@ -73,64 +73,64 @@
     };
 
     void taskFailed(kj::Exception&&) override;
-    std::vector<PeerLink*> possibleVoters(); // with seeds all peers; which of them vote, the members say
-    bool findsPeers() const { return !m_settings.seeds.empty(); }
-    void learnPeer(const base::HostId&); // whose name is its address
-    void learnMembers();
+    std::vector<PeerLink*> possibleVoters(); // with seeds: all peers, of which the member list says who votes
+    bool discoversPeers() const { return !m_settings.seeds.empty(); }
+    void addPeer(const base::HostId&); // `host` is its address
+    void addMemberPeers();
     void makeLinks();
     void linkTo(const ControlPeer&);
     void makeReplica(consensus::DiskLog);
-    void makeUpstream();
+    void makeSourceClient();
 
-    // Hooks of the replica
+    // Replica hooks
     void send(const consensus::Message&);
     void restore(const consensus::Snapshot&);
     void apply(const consensus::Entry&);
     void applyChange(const consensus::Entry&);
-    void keepUnreleased(); // before the state changes: what may still be handed out is copied
-    void noteVersion();
+    void copyUnreleased(); // copies a snapshot that may still be released, before the state changes
+    void recordVersion();
     void logVersion() const;
     using RolloutsById = std::map<base::RolloutId, config::Rollout>;
-    void noteRollouts(const RolloutsById& before);
-    void releasedUpTo(base::LogIndex);
+    void logRolloutChanges(const RolloutsById& before);
+    void onReleased(base::LogIndex);
     void wakeReleaseWaiters();
 
     // Reports
-    void take(const inner::NodeReport&);
-    inner::NodeReport forPeers(const inner::NodeReport&) const;
+    void applyReport(const inner::NodeReport&);
+    inner::NodeReport reportForPeers(const inner::NodeReport&) const;
     PendingReport ownReports() const;
 
     // Changes
-    kj::Promise<ChangeAnswer> proposeHere(config::Command);
-    ChangeAnswer outcomeAt(base::LogIndex);
-    kj::Promise<ChangeAnswer> forwardToLeader(const std::string& command);
-    bool proposeOwn(const config::Command&); // false: another one is under way
+    kj::Promise<ChangeResult> proposeChange(config::Command);
+    ChangeResult outcomeAt(base::LogIndex);
+    kj::Promise<ChangeResult> forwardToLeader(const std::string& command);
+    bool proposeInternal(const config::Command&); // false: another one is in progress
 
     // Documents
     kj::Promise<base::Result<base::ConfigVersion>> proposeForVersion(const config::Command&);
     kj::Promise<base::Result<base::ConfigVersion>> proposeDocument(const std::shared_ptr<const config::Document>&);
-    kj::Promise<base::Result<base::ConfigVersion>> judgeConflict(const std::shared_ptr<const config::Document>&);
-    kj::Promise<void> inForceEverywhere(base::ConfigVersion);
-    void wakeInForceWaiters();
-    void answerBeforeAll(base::ConfigVersion);
-    base::UpstreamVersion versionWithTraffic(const base::ServiceName&, const base::UpstreamVersion& besides) const;
-    std::string describeReady(const config::Rollout&) const;
-
-    // Repeated work
+    kj::Promise<base::Result<base::ConfigVersion>> recheckConflict(const std::shared_ptr<const config::Document>&);
+    kj::Promise<void> waitUntilApplied(base::ConfigVersion);
+    void wakeAppliedWaiters();
+    void onAppliedTimeout(base::ConfigVersion);
+    base::UpstreamVersion mostDeployedVersion(const base::ServiceName&, const base::UpstreamVersion& besides) const;
+    std::string describeReadyUpstreams(const config::Rollout&) const;
+
+    // Periodic work
     kj::Promise<void> housekeeping();
-    void noteIsolation();
-    bool reachesMostPeers() const;
+    void updateIsolation();
+    bool reachesMostControlProcesses() const;
     bool reachesMajority() const;
-    void expireOld();
-    void letInNewVoters();
-    void takeOutLostVoters();
-    void openDiskAgain(); // after it failed
-    void agreeOnKeepers();
+    void expireRecords();
+    void addNewVoters();
+    void removeLostVoters();
+    void reopenDisk(); // after a disk failure
+    void proposeKeepers();
     void finishKeeperChange();
     void runRollouts();
 
-    base::Result<std::string> readHere(const std::string& what) const;
-    kj::Promise<base::Result<std::string>> readCurrent(const std::string& what);
+    base::Result<std::string> readLocal(const std::string& what) const;
+    kj::Promise<base::Result<std::string>> readLinearizable(const std::string& what);
     nlohmann::json status() const;
     nlohmann::json dump() const;
 
@@ -138,45 +138,45 @@
     kj::Timer& m_timer;
     ControlSettings m_settings;
 
-    // Agreed; a relay has only what its source gave it.
+    // Replicated state; a relay has only what its source sent.
     config::State m_state;
-    std::map<base::ConfigVersion, std::shared_ptr<const config::Snapshot>> m_unreleased; // null: m_state's own, not copied yet
+    std::map<base::ConfigVersion, std::shared_ptr<const config::Snapshot>> m_unreleased; // null: still equal to m_state, not copied yet
     base::LogIndex m_releasedIndex;
-    base::LogIndex m_appliedIndex; // m_state has all up to here; may be below m_releasedIndex on a replica that was away
+    base::LogIndex m_appliedIndex; // last entry applied to m_state; may be below m_releasedIndex on a replica that is catching up
     std::vector<ReleaseWaiter> m_releaseWaiters;
-    std::vector<InForceWaiter> m_inForceWaiters;
-    kj::ForkedPromise<void> m_documentTurn = nullptr; // resolves when the documents taken so far are agreed on or refused
-    std::map<base::LogIndex, config::Outcome> m_outcomes; // of the newest entries, for proposals made here
+    std::vector<AppliedWaiter> m_appliedWaiters;
+    kj::ForkedPromise<void> m_documentQueue = nullptr; // resolves when all documents submitted so far are committed or rejected
+    std::map<base::LogIndex, config::Outcome> m_outcomes; // of the newest entries, for proposals of this process
     bool m_leading = false;
-    bool m_replaying = false; // a start applies what its disk has: logged when it was accepted, and a line each takes time
-    base::AnchoredClock m_leadClock = base::anchorNow(); // of the present leadership
-    uint64_t m_answeredBeforeAll = 0; // operators' changes
-    size_t m_changesUnderWay = 0; // operators' changes that wait for their answer
-    bool m_ownProposal = false; // one of control's own proposals is under way
+    bool m_replaying = false; // while a starting process applies its disk log: these entries were logged before, and logging delays the start
+    base::AnchoredClock m_leaderClock = base::anchorNow(); // of the current term as leader
+    uint64_t m_appliedTimeouts = 0; // operators' documents answered before all nodes had applied them
+    size_t m_pendingChanges = 0; // operators' changes without an answer yet
+    bool m_internalProposalPending = false; // a proposal of the control process itself is in progress
     bool m_changingMembers = false;
-    base::Time m_diskTriedAt; // when it was last opened again
+    base::Time m_diskReopenedAt; // last attempt to reopen it
 
-    // The leader's duties; meaningless on others.
+    // Used only while this process leads.
     KeeperChoice m_keeperChoice;
-    policy::SetChange m_keeperChange; // of the set that is changing
-    base::ConfigVersion m_keeperChangeIn; // a version that has it
+    policy::SetChange m_keeperChange; // the change in progress
+    base::ConfigVersion m_keeperChangeVersion; // a version that contains the change
     RolloutRunner m_rollouts;
     policy::LostVoters m_lostVoters;
 
-    // Not agreed.
-    base::Time m_enoughPeersAt = base::steadyNow(); // when more than half of the control processes were last linked
+    // Not replicated.
+    base::Time m_lastConnectedAt = base::steadyNow(); // when enough other control processes were last reachable, see updateIsolation()
     config::EndpointRegistry m_endpoints;
     Convergence m_convergence;
-    PendingReport m_own; // what the nodes linked to this process said; told to peers that come new
-    PendingReport m_all; // evidence of all nodes
+    PendingReport m_localReports; // reports of the nodes linked to this process; sent to newly linked peers
+    PendingReport m_allEvidence; // evidence of all nodes
     Distributor m_distributor;
 
     std::vector<std::unique_ptr<PeerLink>> m_peers;
     std::unique_ptr<BootReads> m_bootReads;
     std::unique_ptr<ReplicaDriver> m_replica; // voters
-    std::unique_ptr<inner::SourceClient> m_upstream; // relays
+    std::unique_ptr<inner::SourceClient> m_sourceClient; // relays
     kj::Own<kj::TaskSet> m_tasks;
-    inner::RpcPort m_port; // last: sessions refer to all above
+    inner::RpcPort m_port; // last member: sessions refer to all others
 };
 
 } // namespace appletally::control
--- a/src/appletally/control/replica_driver.cpp
+++ b/src/appletally/control/replica_driver.cpp
@@ -1,4 +1,4 @@
-// The loop around consensus::step(); see the header.
+// Event loop around consensus::step(); see the header.
 #include "appletally/control/replica_driver.h"
 
 #include "appletally/base/log.h"
@@ -10,18 +10,18 @@
 
 namespace {
 
-    // A restart reads and applies what came after the last snapshot: at these bounds that takes well under a second.
+    // A restart reads and applies all entries after the last snapshot; within these limits that takes well under a second.
     constexpr uint64_t entriesPerSnapshot = 500;
     constexpr uint64_t bytesPerSnapshot = 4u << 20;
 
-    // A few entries are worth a snapshot once changes have paused: nobody waits for it then, and a restart after it applies
-    // next to nothing. Without it a process with a thirteenth of a core took 0.6 s for 78 changes of 300 routes, and its
-    // nodes served nobody meanwhile.
-    constexpr uint64_t entriesWorthSnapshot = 8;
-    constexpr base::Duration quietBeforeSnapshot { 500 };
+    // Fewer entries trigger a snapshot once changes have paused: no request waits for it then, and a later restart has
+    // almost nothing to apply. Without it a process with a thirteenth of a core needs 0.6 s to apply 78 changes of 300
+    // routes, during which its nodes serve no requests.
+    constexpr uint64_t minEntriesForIdleSnapshot = 8;
+    constexpr base::Duration idleSnapshotDelay { 500 };
 
-    // An operator who waits longer is told that the outcome is pending, and resends.
-    constexpr base::Duration proposalLimit { 4000 };
+    // After this time an operator gets OutcomePending, and resends.
+    constexpr base::Duration proposalTimeout { 4000 };
 
 } // namespace
 
@@ -30,20 +30,20 @@
     , m_disk(std::move(disk))
     , m_replica(consensus::make(consensus::durable(m_disk), config))
     , m_hooks(std::move(hooks))
-    , m_snapshotAt(m_disk.snapshot.meta.index)
+    , m_snapshotIndex(m_disk.snapshot.meta.index)
     , m_tasks(*this)
 {
 }
 
 void ReplicaDriver::start()
 {
-    drive(consensus::Tick {});
+    processInput(consensus::Tick {});
     m_tasks.add(ticks());
 }
 
 void ReplicaDriver::taskFailed(kj::Exception&& problem)
 {
-    base::logEvent(base::Event::DiskStopped, std::string("the replica's task failed: ") + problem.getDescription().cStr());
+    base::logEvent(base::Event::DiskStopped, std::string("a task of the replica failed: ") + problem.getDescription().cStr());
 }
 
 kj::Promise<void> ReplicaDriver::ticks()
@@ -52,7 +52,7 @@
     const base::Time due = base::steadyNow() + every;
     return m_timer.afterDelay(every.ms * kj::MILLISECONDS).then([this, due] {
         base::addStall(m_stalls, base::StallCause::LateTimer, std::max<int64_t>((base::steadyNow() - due).ms, 0) * 1000);
-        drive(consensus::Tick {});
+        processInput(consensus::Tick {});
         return ticks();
     });
 }
@@ -60,49 +60,49 @@
 void ReplicaDriver::received(consensus::Message message)
 {
     if (message.to == m_replica.id)
-        drive(consensus::Received { std::move(message) });
+        processInput(consensus::Received { std::move(message) });
 }
 
-kj::Promise<base::Result<base::LogIndex>> ReplicaDriver::ask(uint64_t id, consensus::Input input)
+kj::Promise<base::Result<base::LogIndex>> ReplicaDriver::submit(uint64_t id, consensus::Input input)
 {
     if (m_failure)
         return base::Result<base::LogIndex>(*m_failure);
-    auto asked = kj::newPromiseAndFulfiller<base::Result<base::LogIndex>>();
-    m_answers[id] = kj::mv(asked.fulfiller);
-    drive(std::move(input));
-    return asked.promise.exclusiveJoin(m_timer.afterDelay(proposalLimit.ms * kj::MILLISECONDS).then([this, id]() -> base::Result<base::LogIndex> {
+    auto pending = kj::newPromiseAndFulfiller<base::Result<base::LogIndex>>();
+    m_answers[id] = kj::mv(pending.fulfiller);
+    processInput(std::move(input));
+    return pending.promise.exclusiveJoin(m_timer.afterDelay(proposalTimeout.ms * kj::MILLISECONDS).then([this, id]() -> base::Result<base::LogIndex> {
         m_answers.erase(id);
-        return base::fail(base::Code::OutcomePending, "not committed in time; resend to learn the outcome");
+        return base::fail(base::Code::OutcomePending, "not committed within the timeout; resend to get the outcome");
     }));
 }
 
 kj::Promise<base::Result<base::LogIndex>> ReplicaDriver::propose(std::string data)
 {
     const uint64_t id = m_nextId++;
-    return ask(id, consensus::Propose { id, std::move(data) });
+    return submit(id, consensus::Propose { id, std::move(data) });
 }
 
 kj::Promise<base::Result<base::LogIndex>> ReplicaDriver::readIndex()
 {
     const uint64_t id = m_nextId++;
-    return ask(id, consensus::ReadIndex { id });
+    return submit(id, consensus::ReadIndex { id });
 }
 
 kj::Promise<base::Result<base::LogIndex>> ReplicaDriver::addMembers(std::vector<consensus::Member> members)
 {
     const uint64_t id = m_nextId++;
-    return ask(id, consensus::AddMembers { id, std::move(members) });
+    return submit(id, consensus::AddMembers { id, std::move(members) });
 }
 
 kj::Promise<base::Result<base::LogIndex>> ReplicaDriver::removeMember(base::ReplicaId replica)
 {
     const uint64_t id = m_nextId++;
-    return ask(id, consensus::RemoveMember { id, replica });
+    return submit(id, consensus::RemoveMember { id, replica });
 }
 
 // --- Steps ---
 
-void ReplicaDriver::drive(consensus::Input input)
+void ReplicaDriver::processInput(consensus::Input input)
 {
     m_inputs.push_back(std::move(input));
     if (m_driving)
@@ -120,7 +120,7 @@
 void ReplicaDriver::stepOnce(consensus::Input input)
 {
     consensus::Ready ready = consensus::step(m_replica, std::move(input), base::steadyNow(), inner::randomNumber());
-    hand(ready);
+    handleOutput(ready);
     if (ready.persist)
         persist(*ready.persist);
     const base::LogIndex released = consensus::releasedIndex(m_replica);
@@ -131,12 +131,12 @@
     maybeSnapshot();
 }
 
-void ReplicaDriver::hand(consensus::Ready& ready)
+void ReplicaDriver::handleOutput(consensus::Ready& ready)
 {
     for (const consensus::Message& it : ready.messages)
         m_hooks.send(it);
     if (ready.restore) {
-        m_snapshotAt = ready.restore->meta.index;
+        m_snapshotIndex = ready.restore->meta.index;
         m_bytesSinceSnapshot = 0;
         m_hooks.restore(*ready.restore);
     }
@@ -145,15 +145,16 @@
         m_bytesSinceSnapshot += it.data.size();
         m_hooks.apply(it);
     }
-    // After them: a start that took half a second to apply its log is no pause yet, and it has better things to do.
+    // Set after the entries are applied: a start that takes half a second for its log must not count as a pause, since a
+    // snapshot would delay it further.
     if (!ready.committed.empty())
         m_appliedAt = base::steadyNow();
     for (const consensus::Accepted& it : ready.accepted)
         answer(it.id, it.index);
     for (const consensus::Refused& it : ready.refused)
-        answer(it.id, base::fail(it.code, it.leaderHost.empty() ? "no leader known" : "the leader is " + it.leaderHost.text));
+        answer(it.id, base::fail(it.code, it.leaderHost.empty() ? "no leader is known" : "the leader is " + it.leaderHost.text));
     for (const consensus::Unknown& it : ready.unknown)
-        answer(it.id, base::fail(base::Code::OutcomePending, "the leader changed; resend to learn the outcome"));
+        answer(it.id, base::fail(base::Code::OutcomePending, "the leader changed; resend to get the outcome"));
     for (const consensus::ReadReady& it : ready.reads)
         answer(it.id, it.index);
     if (ready.becameLeader || ready.lostLeadership)
@@ -195,16 +196,16 @@
 
 void ReplicaDriver::maybeSnapshot()
 {
-    const uint64_t entries = m_replica.applied.value - m_snapshotAt.value;
-    const bool quiet = entries >= entriesWorthSnapshot && base::steadyNow() - m_appliedAt >= quietBeforeSnapshot;
+    const uint64_t entries = m_replica.applied.value - m_snapshotIndex.value;
+    const bool idle = entries >= minEntriesForIdleSnapshot && base::steadyNow() - m_appliedAt >= idleSnapshotDelay;
     const bool due = entries >= entriesPerSnapshot || m_bytesSinceSnapshot >= bytesPerSnapshot;
-    if (m_failure || (!quiet && !due))
+    if (m_failure || (!idle && !due))
         return;
-    m_snapshotAt = m_replica.applied;
+    m_snapshotIndex = m_replica.applied;
     m_bytesSinceSnapshot = 0;
-    base::logEvent(base::Event::SnapshotTaken, "of all up to log index " + std::to_string(m_snapshotAt.value));
+    base::logEvent(base::Event::SnapshotTaken, "up to log index " + std::to_string(m_snapshotIndex.value));
     const base::StallTimer timer(m_stalls, base::StallCause::Snapshot);
-    m_inputs.push_back(consensus::SnapshotTaken { m_snapshotAt, std::make_shared<const std::string>(m_hooks.state()) });
+    m_inputs.push_back(consensus::SnapshotTaken { m_snapshotIndex, std::make_shared<const std::string>(m_hooks.state()) });
 }
 
 nlohmann::json ReplicaDriver::toJson() const
@@ -212,8 +213,8 @@
     nlohmann::json members = nlohmann::json::array();
     for (const consensus::Member& it : consensus::latestMembers(m_replica).list)
         members.push_back({ { "replica", it.id.value }, { "host", it.host.text }, { "votes", it.role == consensus::Role::Voter }, { "replaces", it.replaces.value } });
-    static constexpr const char* standings[] = { "follower", "pre-candidate", "candidate", "leader" };
-    return { { "replica", m_replica.id.value }, { "standing", standings[static_cast<size_t>(m_replica.standing)] }, { "term", m_replica.state.term.value },
+    static constexpr const char* standingNames[] = { "follower", "pre-candidate", "candidate", "leader" };
+    return { { "replica", m_replica.id.value }, { "standing", standingNames[static_cast<size_t>(m_replica.standing)] }, { "term", m_replica.state.term.value },
         { "leader", m_replica.leader.value }, { "commit", m_replica.commit.value }, { "recorded_commit", m_replica.recordedCommit.value },
         { "released", m_released.value }, { "last_index", consensus::lastIndex(m_replica).value }, { "syncs", m_syncs },
         { "stopped", m_failure ? m_failure->text : "" }, { "members", std::move(members) } };
--- a/src/appletally/control/report_merge.cpp
+++ b/src/appletally/control/report_merge.cpp
@@ -1,4 +1,4 @@
-// Keeping the newest of each record.
+// Merges reports by keeping the newest state of each record.
 #include "appletally/control/report_merge.h"
 
 namespace appletally::control {
@@ -16,7 +16,7 @@
             known = it;
     }
     for (const inner::NodeInForce& it : report.inForce) {
-        inner::NodeInForce& known = pending.inForce[it.host];
+        inner::NodeInForce& known = pending.appliedVersions[it.host];
         if (std::tuple(it.incarnation, it.version) >= std::tuple(known.incarnation, known.version))
             known = it;
     }
@@ -34,7 +34,7 @@
         out.endpoints.push_back(it);
     for (const auto& [key, it] : pending.renewals)
         out.renewals.push_back(it);
-    for (const auto& [key, it] : pending.inForce)
+    for (const auto& [key, it] : pending.appliedVersions)
         out.inForce.push_back(it);
     for (const auto& [key, it] : pending.evidence)
         out.evidence.push_back(it);
--- a/src/appletally/control/report_merge.h
+++ b/src/appletally/control/report_merge.h
@@ -1,5 +1,5 @@
-// Reports that wait to be sent: of each record only the newest, so that a slow peer costs no more memory than the
-// records that there are.
+// Reports queued for sending. Only the newest state of each record is kept, so the queue of a slow peer is bounded by the
+// number of records.
 #pragma once
 
 #include "appletally/inner/rpc_wire.h"
@@ -13,9 +13,9 @@
     using EvidenceKey = std::tuple<base::HostId, base::Incarnation, base::ServiceName, base::RouteName, base::UpstreamVersion>;
     std::map<base::HostId, inner::EndpointSign> endpoints;
     std::map<base::HostId, config::EndpointRenewal> renewals;
-    std::map<base::HostId, inner::NodeInForce> inForce;
+    std::map<base::HostId, inner::NodeInForce> appliedVersions;
     std::map<EvidenceKey, config::Evidence> evidence;
-    bool empty() const { return endpoints.empty() && inForce.empty() && evidence.empty() && renewals.empty(); }
+    bool empty() const { return endpoints.empty() && appliedVersions.empty() && evidence.empty() && renewals.empty(); }
 };
 
 void add(PendingReport&, const inner::NodeReport&);
--- a/src/appletally/control/rollout_runner.cpp
+++ b/src/appletally/control/rollout_runner.cpp
@@ -1,11 +1,11 @@
-// From rollout steps to commands.
+// Turns rollout steps into commands; see the header.
 #include "appletally/control/rollout_runner.h"
 
 #include <algorithm>
 
 namespace appletally::control {
 
-void follow(RolloutRunner& runner, const config::State& state, const std::vector<config::Evidence>& known)
+void syncRunning(RolloutRunner& runner, const config::State& state, const std::vector<config::Evidence>& known)
 {
     std::erase_if(runner.running, [&](const auto& entry) { return !state.running.contains(entry.first); });
     for (const auto& [id, it] : state.running) {
@@ -60,7 +60,7 @@
         if (auto command = toCommand(plan->second, policy::stepRollout(rollout, plan->second, upstreamsOf(plan->second, endpoints), now, true)))
             out.push_back(std::move(*command));
     }
-    // Callers of a bad version wait for nothing else.
+    // Rollbacks go first, because callers of a bad version keep failing until then.
     std::stable_partition(out.begin(), out.end(), [](const config::Command& it) { return std::holds_alternative<config::TakeBack>(it); });
     return out;
 }
--- a/src/appletally/control/rollout_runner.h
+++ b/src/appletally/control/rollout_runner.h
@@ -1,7 +1,8 @@
-// The leader's rollouts: feeds what nodes saw to policy/rollout and turns its steps into commands for the log.
+// Runs rollouts on the leader: passes the nodes' evidence to policy/rollout and turns its steps into log commands.
 //
-// A new leader begins with what nodes report to it, which are totals; the schedule goes by when the log committed the
-// rollout. A deposed leader's late command names the share that it started from and is refused by the state machine.
+// A new leader needs no state of the old one: nodes report totals, and the schedule is relative to the time at which the
+// rollout was committed. A late command of a deposed leader names the share that it was based on, so the state machine
+// rejects it.
 #pragma once
 
 #include "appletally/config/endpoint_registry.h"
@@ -17,12 +18,12 @@
     std::map<base::RolloutId, policy::RolloutState> running;
 };
 
-// Begins with new rollouts and forgets ended ones. `known`: all evidence so far, for those that begin.
-void follow(RolloutRunner&, const config::State&, const std::vector<config::Evidence>& known);
+// Adds new rollouts and removes ended ones. `known`: all evidence so far, the initial evidence of added rollouts.
+void syncRunning(RolloutRunner&, const config::State&, const std::vector<config::Evidence>& known);
 
 void onEvidence(RolloutRunner&, const config::State&, const std::vector<config::Evidence>&);
 
-// The commands to propose now, most urgent first.
+// Returns the commands to propose now, most urgent first.
 std::vector<config::Command> stepRollouts(RolloutRunner&, const config::State&, const config::EndpointRegistry&, base::WallTime now);
 
 } // namespace appletally::control
--- a/src/appletally/control/run.cpp
+++ b/src/appletally/control/run.cpp
@@ -1,4 +1,4 @@
-// Start and stop of a control process.
+// Startup and graceful shutdown of a control process; see the header.
 #include "appletally/control/run.h"
 
 #include "appletally/base/log.h"
@@ -13,13 +13,13 @@
 
 namespace {
 
-    constexpr base::Duration stopPoll { 10 }; // how often a stopping process looks whether changes are still under way
+    constexpr base::Duration stopPollInterval { 10 }; // how often a stopping process checks for pending changes
 
-    kj::Promise<void> untilQuiet(kj::Timer& timer, const ControlProcess& process)
+    kj::Promise<void> untilChangesDone(kj::Timer& timer, const ControlProcess& process)
     {
-        if (process.changesUnderWay() == 0)
+        if (process.pendingChanges() == 0)
             return kj::READY_NOW;
-        return timer.afterDelay(stopPoll.ms * kj::MILLISECONDS).then([&timer, &process] { return untilQuiet(timer, process); });
+        return timer.afterDelay(stopPollInterval.ms * kj::MILLISECONDS).then([&timer, &process] { return untilChangesDone(timer, process); });
     }
 
     kj::Promise<siginfo_t> stopSignal(kj::UnixEventPort& port) { return port.onSignal(SIGTERM).exclusiveJoin(port.onSignal(SIGINT)); }
@@ -39,16 +39,16 @@
 static base::Result<consensus::DiskLog> openLog(const ControlSettings& settings)
 {
     const consensus::FileCalls calls = consensus::systemFileCalls();
-    return settings.seeds.empty() ? consensus::openFolder(calls, settings.data) : openOrForm(calls, settings);
+    return settings.seeds.empty() ? consensus::openFolder(calls, settings.data) : openOrFormat(calls, settings);
 }
 
 base::Result<void> run(const ControlSettings& settings, const MakePort& makePort)
 {
-    // Before any thread starts: KJ wants the signals blocked everywhere else.
+    // Before any thread starts: KJ requires these signals to be blocked in all other threads.
     kj::UnixEventPort::captureSignal(SIGTERM);
     kj::UnixEventPort::captureSignal(SIGINT);
     std::signal(SIGPIPE, SIG_IGN);
-    std::signal(SIGHUP, SIG_IGN); // a port that can reload looks at its file by itself; unhandled it would end the process
+    std::signal(SIGHUP, SIG_IGN); // a port that reloads settings watches its file instead; the default action would end the process
     auto io = kj::setupAsyncIo();
 
     std::optional<consensus::DiskLog> disk;
@@ -58,7 +58,7 @@
             return opened.error();
         disk = std::move(opened.value());
         if (disk->cutBytes != 0)
-            base::logEvent(base::Event::LogTailCut, std::to_string(disk->cutBytes) + " bytes of an unfinished write");
+            base::logEvent(base::Event::LogTailCut, std::to_string(disk->cutBytes) + " bytes of an incomplete write");
     }
     ControlProcess process(io, settings, std::move(disk));
     const auto address = process.listen();
@@ -71,20 +71,20 @@
             return made.error();
         extra = std::move(made.value());
     }
-    base::logEvent(base::Event::Started, "listens at " + address.value().text());
+    base::logEvent(base::Event::Started, "listening on " + address.value().text());
 
     stopSignal(io.unixEventPort).wait(io.waitScope);
-    base::logEvent(base::Event::Stopping, "finishes what operators asked");
+    base::logEvent(base::Event::Stopping, "waiting for pending operator changes");
     auto second = stopSignal(io.unixEventPort).then([](siginfo_t&&) { _exit(128 + SIGTERM); }).eagerlyEvaluate(nullptr);
     process.stopListening();
     if (extra)
         extra->stopListening();
     kj::Timer& timer = io.provider->getTimer();
-    const bool quiet = untilQuiet(timer, process)
-                           .then([] { return true; })
-                           .exclusiveJoin(timer.afterDelay(settings.stopBound.ms * kj::MILLISECONDS).then([] { return false; }))
-                           .wait(io.waitScope);
-    base::logEvent(quiet ? base::Event::Stopped : base::Event::StopBoundReached, quiet ? "nothing is under way" : "changes were still under way");
+    const bool changesDone = untilChangesDone(timer, process)
+                                 .then([] { return true; })
+                                 .exclusiveJoin(timer.afterDelay(settings.shutdownTimeout.ms * kj::MILLISECONDS).then([] { return false; }))
+                                 .wait(io.waitScope);
+    base::logEvent(changesDone ? base::Event::Stopped : base::Event::StopBoundReached, changesDone ? "no changes pending" : "changes were still pending");
     return base::success();
 }
 
--- a/src/appletally/control/run.h
+++ b/src/appletally/control/run.h
@@ -1,4 +1,4 @@
-// The life of a control process: format, check, run until a signal.
+// Formats the data folder of a control process, and runs the process until a signal.
 #pragma once
 
 #include "appletally/control/settings.h"
@@ -8,21 +8,22 @@
 
 namespace appletally::control {
 
-// Makes the data folder, once. `first`: this replica begins the mesh's log alone; the others are formatted without it
-// and are let in by the first. Two first ones would be two meshes that know nothing of each other.
+// Creates the data folder; to be called once. `first`: this replica is the only initial member of the log. Format all
+// others without it; the first one adds them. Two replicas formatted with `first` would form two separate meshes.
 base::Result<void> formatFolder(const ControlSettings&, bool first);
 
 class ControlProcess;
 
-// A port beside the process's own, for operators who speak another protocol. Lives as long as the process runs.
+// Additional port for operators with another protocol. Exists as long as the process runs.
 class ExtraPort {
 public:
-    virtual ~ExtraPort() noexcept(false) = default; // as KJ has it
-    virtual void stopListening() = 0; // what is under way goes on
+    virtual ~ExtraPort() noexcept(false) = default; // as in KJ, whose destructors may throw
+    virtual void stopListening() = 0; // requests in progress continue
 };
 using MakePort = std::function<base::Result<std::unique_ptr<ExtraPort>>(kj::AsyncIoContext&, ControlProcess&)>;
 
-// Until SIGTERM or SIGINT, then at most stopBound; a second signal ends the process at once. `makePort` may be empty.
+// Runs until SIGTERM or SIGINT, then waits for pending changes for at most shutdownTimeout. A second signal ends the
+// process at once. `makePort` may be empty.
 base::Result<void> run(const ControlSettings&, const MakePort& makePort = {});
 
 } // namespace appletally::control
--- a/src/appletally/control/sessions.cpp
+++ b/src/appletally/control/sessions.cpp
@@ -1,4 +1,4 @@
-// The capabilities of each role; they only translate between the schema and the process.
+// RPC sessions of each role; they only translate between the schema and ControlProcess.
 #include "appletally/control/sessions.h"
 
 #include "appletally/control/process.h"
@@ -12,15 +12,15 @@
 
 namespace {
 
-    // About what it takes to be let in; the others are tried meanwhile.
-    constexpr base::Duration notLetInComeBack { 200 };
+    // About the time until the leader adds this replica; nodes try the other sources meanwhile.
+    constexpr base::Duration notMemberRetryAfter { 200 };
 
-    // Node: takes content, reports.
+    // For nodes: subscription to content, and reports.
     class SourceSession : public virtual Source::Server {
     public:
-        SourceSession(ControlProcess& process, base::HostId who)
+        SourceSession(ControlProcess& process, base::HostId host)
             : m_process(process)
-            , m_who(std::move(who))
+            , m_host(std::move(host))
         {
         }
 
@@ -29,14 +29,14 @@
         kj::Promise<void> subscribe(SubscribeContext context) override
         {
             auto params = context.getParams();
-            m_subscription.end(); // a second one replaces the first
-            // With an empty disk it starts sooner than all others and draws every node that waits for a source; they would
-            // stay until it is let in and has caught up, while the others could have served them.
+            m_subscription.end(); // a new subscription replaces the previous one
+            // A process with an empty disk starts sooner than the others and attracts every node that waits for a source.
+            // Without this check they would stay until it is a member and has caught up, although others could serve them.
             if (!m_process.knowsMembers()) {
-                inner::write(context.getResults().initFailure(), base::fail(base::Code::ComeBackLater, "this source has not been let in yet", notLetInComeBack));
+                inner::write(context.getResults().initFailure(), base::fail(base::Code::ComeBackLater, "this source is not a member of the log yet", notMemberRetryAfter));
                 return kj::READY_NOW;
             }
-            auto subscribed = m_process.distributor().subscribe(m_who, { params.getHave() }, inner::read(params.getCursor()), params.getFeed(), params.getPromised());
+            auto subscribed = m_process.distributor().subscribe(m_host, { params.getHave() }, inner::read(params.getCursor()), params.getFeed(), params.getPromised());
             if (subscribed)
                 m_subscription = std::move(subscribed.value());
             else
@@ -46,13 +46,13 @@
 
         kj::Promise<void> report(ReportContext context) override
         {
-            m_process.nodeReport(inner::read(context.getParams().getReport()));
+            m_process.onNodeReport(inner::read(context.getParams().getReport()));
             return kj::READY_NOW;
         }
 
         kj::Promise<void> bootFloor(BootFloorContext context) override
         {
-            return m_process.bootFloor().then([context](base::Result<base::ConfigVersion> version) mutable {
+            return m_process.minBootVersion().then([context](base::Result<base::ConfigVersion> version) mutable {
                 if (version)
                     context.getResults().setVersion(version.value().value);
                 else
@@ -61,20 +61,20 @@
         }
 
     protected:
-        ControlProcess& m_process; // outlives its port and so its sessions
-        base::HostId m_who;
+        ControlProcess& m_process; // outlives its port and therefore its sessions
+        base::HostId m_host;
 
     private:
         Subscription m_subscription;
     };
 
-    void write(inner::rpc::Failure::Builder failure, const ChangeAnswer& answer)
+    void write(inner::rpc::Failure::Builder failure, const ChangeResult& answer)
     {
         if (answer.failure.code != base::Code::Ok)
             inner::write(failure, answer.failure);
     }
 
-    // Another control process.
+    // For other control processes.
     class PeerSession final : public SourceSession, public Peer::Server {
     public:
         using SourceSession::SourceSession;
@@ -83,8 +83,8 @@
         {
             auto message = consensus::decode(inner::bytes(context.getParams().getMessage()));
             if (!message)
-                kj::throwFatalException(KJ_EXCEPTION(FAILED, "no consensus message"));
-            m_process.consensusMessage(std::move(message.value()));
+                kj::throwFatalException(KJ_EXCEPTION(FAILED, "malformed consensus message"));
+            m_process.onConsensusMessage(std::move(message.value()));
             return kj::READY_NOW;
         }
 
@@ -93,13 +93,13 @@
             auto out = context.getResults();
             const consensus::Replica* replica = m_process.replica();
             if (!replica) {
-                inner::write(out.initFailure(), base::fail(base::Code::NotReady, "a relay"));
+                inner::write(out.initFailure(), base::fail(base::Code::NotReady, "this process is a relay"));
                 return kj::READY_NOW;
             }
             out.setReplica(replica->id.value);
             const auto answer = consensus::bootAnswer(*replica);
             if (!answer) {
-                inner::write(out.initFailure(), base::fail(base::Code::NotReady, "not a voter"));
+                inner::write(out.initFailure(), base::fail(base::Code::NotReady, "this process is not a voter"));
                 return kj::READY_NOW;
             }
             const std::string meta = consensus::encodeMeta({ answer->recordedCommit, {}, answer->members });
@@ -109,7 +109,7 @@
 
         kj::Promise<void> released(ReleasedContext context) override
         {
-            return m_process.released({ context.getParams().getIndex() }).then([context](base::Result<base::ConfigVersion> version) mutable {
+            return m_process.waitForRelease({ context.getParams().getIndex() }).then([context](base::Result<base::ConfigVersion> version) mutable {
                 if (version)
                     context.getResults().setVersion(version.value().value);
                 else
@@ -119,13 +119,13 @@
 
         kj::Promise<void> share(ShareContext context) override
         {
-            m_process.peerReport(inner::read(context.getParams().getReport()));
+            m_process.onPeerReport(inner::read(context.getParams().getReport()));
             return kj::READY_NOW;
         }
 
         kj::Promise<void> forward(ForwardContext context) override
         {
-            return m_process.change(inner::bytes(context.getParams().getCommand()), true).then([context](const ChangeAnswer& answer) mutable {
+            return m_process.submitChange(inner::bytes(context.getParams().getCommand()), true).then([context](const ChangeResult& answer) mutable {
                 auto out = context.getResults();
                 write(out.initFailure(), answer);
                 out.setVersion(answer.version.value);
@@ -145,7 +145,7 @@
 
         kj::Promise<void> change(ChangeContext context) override
         {
-            return m_process.change(inner::bytes(context.getParams().getCommand()), false).then([context](const ChangeAnswer& answer) mutable {
+            return m_process.submitChange(inner::bytes(context.getParams().getCommand()), false).then([context](const ChangeResult& answer) mutable {
                 auto out = context.getResults();
                 write(out.initFailure(), answer);
                 out.setVersion(answer.version.value);
@@ -178,19 +178,19 @@
 
 } // namespace
 
-inner::rpc::Session::Client makeSession(ControlProcess& process, inner::rpc::Role role, const base::HostId& who)
+inner::rpc::Session::Client makeSession(ControlProcess& process, inner::rpc::Role role, const base::HostId& host)
 {
     switch (role) {
     case inner::rpc::Role::OPERATOR:
         return kj::heap<OperatorSession>(process);
     case inner::rpc::Role::NODE:
-        return kj::heap<SourceSession>(process, who);
+        return kj::heap<SourceSession>(process, host);
     case inner::rpc::Role::PEER:
-        if (!process.admitsPeer(who))
-            kj::throwFatalException(KJ_EXCEPTION(FAILED, "no control process of that name in the settings"));
-        return inner::rpc::Peer::Client(kj::heap<PeerSession>(process, who));
+        if (!process.admitsPeer(host))
+            kj::throwFatalException(KJ_EXCEPTION(FAILED, "the settings name no control process with this host"));
+        return inner::rpc::Peer::Client(kj::heap<PeerSession>(process, host));
     }
-    KJ_FAIL_REQUIRE("no such role");
+    KJ_FAIL_REQUIRE("unknown role");
 }
 
 } // namespace appletally::control
--- a/src/appletally/control/sessions.h
+++ b/src/appletally/control/sessions.h
@@ -1,4 +1,4 @@
-// What a proven peer of each role may call on a control process.
+// RPC sessions: the methods that an authenticated peer of each role may call on a control process.
 #pragma once
 
 #include "appletally/base/ids.h"
@@ -8,6 +8,6 @@
 
 class ControlProcess;
 
-inner::rpc::Session::Client makeSession(ControlProcess&, inner::rpc::Role, const base::HostId& who);
+inner::rpc::Session::Client makeSession(ControlProcess&, inner::rpc::Role, const base::HostId& host);
 
 } // namespace appletally::control
--- a/src/appletally/control/settings.cpp
+++ b/src/appletally/control/settings.cpp
@@ -1,4 +1,4 @@
-// Checked reading of a control process's settings.
+// Reads and validates the settings of a control process.
 #include "appletally/control/settings.h"
 
 #include "appletally/base/json_reader.h"
@@ -10,8 +10,8 @@
 using base::Code;
 using base::JsonReader;
 
-static constexpr int64_t leastVoterLimit = 3; // fewer voters tolerate no loss
-static constexpr int64_t mostVoterLimit = 99;
+static constexpr int64_t minVoterLimit = 3; // fewer voters tolerate no loss
+static constexpr int64_t maxVoterLimit = 99;
 
 static std::vector<ControlPeer> readPeers(JsonReader& top, const std::string& key)
 {
@@ -23,7 +23,7 @@
     return out;
 }
 
-static bool names(const std::vector<ControlPeer>& peers, const base::HostId& host)
+static bool containsHost(const std::vector<ControlPeer>& peers, const base::HostId& host)
 {
     return std::any_of(peers.begin(), peers.end(), [&](const ControlPeer& it) { return it.host == host; });
 }
@@ -58,22 +58,22 @@
         else
             top.refuse(Code::SettingsOutOfRange, "seeds", "IP numbers with ports, such as 127.0.0.1:7000");
     }
-    out.maxVoters = static_cast<size_t>(top.integer("most_voters", 0, mostVoterLimit, 0));
-    if (out.maxVoters != 0 && (out.maxVoters < leastVoterLimit || out.maxVoters % 2 == 0))
+    out.maxVoters = static_cast<size_t>(top.integer("most_voters", 0, maxVoterLimit, 0));
+    if (out.maxVoters != 0 && (out.maxVoters < minVoterLimit || out.maxVoters % 2 == 0))
         top.refuse(Code::SettingsOutOfRange, "most_voters", "0 for no limit, or an odd number of at least 3");
     out.firstStart = top.flag("first_start", false);
     out.claims = top.flag("claims", out.claims);
     out.startsPerSecond = static_cast<int>(top.integer("starts_per_second", 1, 10000, out.startsPerSecond));
-    out.startsAtOnce = static_cast<int>(top.integer("starts_at_once", 1, 10000, out.startsAtOnce));
-    out.mostSubscribers = static_cast<size_t>(top.integer("most_subscribers", 1, 100000, static_cast<int64_t>(out.mostSubscribers)));
+    out.startBurst = static_cast<int>(top.integer("starts_at_once", 1, 10000, out.startBurst));
+    out.maxSubscribers = static_cast<size_t>(top.integer("most_subscribers", 1, 100000, static_cast<int64_t>(out.maxSubscribers)));
     out.batching = top.flag("batching", out.batching);
-    out.stopBound = top.duration("stop_bound_ms", base::Duration { 100 }, base::Duration { 60000 }, out.stopBound);
+    out.shutdownTimeout = top.duration("stop_bound_ms", base::Duration { 100 }, base::Duration { 60000 }, out.shutdownTimeout);
     top.finish();
     if (!out.seeds.empty() && out.membership.host.text != out.listen.text())
         top.refuse(Code::SettingsOutOfRange, "host", "the same as listen, since with seeds a process is known by its address");
     else if (out.seeds.empty() && (out.voters.empty() || out.voters.size() > 7))
         top.refuse(Code::SettingsOutOfRange, "voters", "1 to 7 voters, each with host and address");
-    if (out.seeds.empty() && out.role == ProcessRole::Voter && !names(out.voters, out.membership.host))
+    if (out.seeds.empty() && out.role == ProcessRole::Voter && !containsHost(out.voters, out.membership.host))
         top.refuse(Code::SettingsOutOfRange, "voters", "this process's own host among them");
     if (problem.first)
         return *problem.first;
--- a/tests/control_distribution_test.cpp
+++ b/tests/control_distribution_test.cpp
@@ -1,4 +1,5 @@
-// Distribution between one source and its subscribers: herds, slow and refusing subscribers, sources that lag.
+// Distribution between a source and its subscribers: many simultaneous starts, slow and rejecting subscribers, sources that
+// are behind.
 #include "appletally/config/generate.h"
 #include "appletally/control/boot_reads.h"
 #include "appletally/control/distributor.h"
@@ -27,7 +28,7 @@
     return out;
 }
 
-control::DistributorLimits wide()
+control::DistributorLimits unlimited()
 {
     control::DistributorLimits out;
     out.starts.perSecond = 10000;
@@ -35,49 +36,49 @@
     return out;
 }
 
-// A subscriber that is played by hand.
-struct Taken {
+// A feed that records the content it receives and answers as the test defines.
+struct ReceivedContent {
     base::ConfigVersion version;
     base::ConfigVersion from;
 };
-class HandFeed final : public rpc::Feed::Server {
+class ScriptedFeed final : public rpc::Feed::Server {
 public:
-    HandFeed(std::vector<Taken>& taken, std::function<kj::Promise<uint64_t>(const Taken&)> answer)
-        : m_taken(taken)
+    ScriptedFeed(std::vector<ReceivedContent>& received, std::function<kj::Promise<uint64_t>(const ReceivedContent&)> answer)
+        : m_received(received)
         , m_answer(std::move(answer))
     {
     }
     kj::Promise<void> content(ContentContext context) override
     {
         auto content = context.getParams().getContent();
-        m_taken.push_back({ { content.getVersion() }, { content.getFrom() } });
-        return m_answer(m_taken.back()).then([context](uint64_t have) mutable { context.getResults().setHave(have); });
+        m_received.push_back({ { content.getVersion() }, { content.getFrom() } });
+        return m_answer(m_received.back()).then([context](uint64_t have) mutable { context.getResults().setHave(have); });
     }
     kj::Promise<void> endpoints(EndpointsContext) override { return kj::READY_NOW; }
 
 private:
-    std::vector<Taken>& m_taken;
-    std::function<kj::Promise<uint64_t>(const Taken&)> m_answer;
+    std::vector<ReceivedContent>& m_received;
+    std::function<kj::Promise<uint64_t>(const ReceivedContent&)> m_answer;
 };
 
-// A distributor under a clock that the test turns.
-struct ByHand {
+// A distributor with a clock that the test advances.
+struct ManualDistributor {
     kj::EventLoop loop;
     kj::WaitScope scope { loop };
     kj::TimerImpl timer { kj::origin<kj::TimePoint>() };
     config::EndpointRegistry endpoints;
-    control::Distributor distributor { timer, wide(), endpoints };
-    std::vector<Taken> taken;
+    control::Distributor distributor { timer, unlimited(), endpoints };
+    std::vector<ReceivedContent> received;
     std::vector<control::Subscription> subscriptions;
 
-    void pass(int64_t ms)
+    void advance(int64_t ms)
     {
         timer.advanceTo(timer.now() + ms * kj::MILLISECONDS);
         scope.poll();
     }
-    void subscribe(uint64_t have, std::function<kj::Promise<uint64_t>(const Taken&)> answer)
+    void subscribe(uint64_t have, std::function<kj::Promise<uint64_t>(const ReceivedContent&)> answer)
     {
-        auto subscribed = distributor.subscribe({ "n" }, { have }, {}, kj::heap<HandFeed>(taken, std::move(answer)), false);
+        auto subscribed = distributor.subscribe({ "n" }, { have }, {}, kj::heap<ScriptedFeed>(received, std::move(answer)), false);
         REQUIRE(subscribed);
         subscriptions.push_back(std::move(subscribed.value()));
         scope.poll();
@@ -85,16 +86,16 @@
     void release(uint64_t version)
     {
         distributor.contentReleased(snapshot(version));
-        pass(0);
+        advance(0);
     }
 };
 
-// A source on a real port whose content the test sets.
+// A source on a real port, with content set by the test.
 class TestSession final : public rpc::Source::Server {
 public:
-    TestSession(control::Distributor& distributor, const uint64_t& floor, kj::Promise<void> answersAt)
+    TestSession(control::Distributor& distributor, const uint64_t& minVersion, kj::Promise<void> answersAt)
         : m_distributor(distributor)
-        , m_floor(floor)
+        , m_minVersion(minVersion)
         , m_answersAt(kj::mv(answersAt))
     {
     }
@@ -112,25 +113,25 @@
     kj::Promise<void> report(ReportContext) override { return kj::READY_NOW; }
     kj::Promise<void> bootFloor(BootFloorContext context) override
     {
-        context.getResults().setVersion(m_floor);
+        context.getResults().setVersion(m_minVersion);
         return kj::READY_NOW;
     }
 
 private:
     control::Distributor& m_distributor;
-    const uint64_t& m_floor;
-    kj::Promise<void> m_answersAt; // to subscribe
+    const uint64_t& m_minVersion;
+    kj::Promise<void> m_answersAt; // delays the answer to subscribe
     control::Subscription m_subscription;
 };
 
 struct TestSource {
     TestSource(kj::AsyncIoContext& io, control::DistributorLimits limits)
         : distributor(io.provider->getTimer(), limits, endpoints)
-        , port(std::make_unique<RpcPort>(io, Membership { { "mesh" }, {}, { "source" } }, [this, &timer = io.provider->getTimer()](rpc::Role, const base::HostId&) -> rpc::Session::Client { return kj::heap<TestSession>(distributor, floor, timer.afterDelay(linkDelay.ms * kj::MILLISECONDS)); }))
+        , port(std::make_unique<RpcPort>(io, Membership { { "mesh" }, {}, { "source" } }, [this, &timer = io.provider->getTimer()](rpc::Role, const base::HostId&) -> rpc::Session::Client { return kj::heap<TestSession>(distributor, minVersion, timer.afterDelay(linkDelay.ms * kj::MILLISECONDS)); }))
         , address(port->listen({ "127.0.0.1", 0 }).value())
     {
     }
-    uint64_t floor = 0;
+    uint64_t minVersion = 0;
     base::Duration linkDelay {}; // from a link's start to the answer to subscribe
     config::EndpointRegistry endpoints;
     control::Distributor distributor;
@@ -144,8 +145,8 @@
         SourceClientHooks hooks;
         hooks.released = [this](const std::shared_ptr<const config::Snapshot>& it) {
             versions.push_back(it->version.value);
-            if (waiting.get() != nullptr && it->version.value >= wanted)
-                waiting->fulfill();
+            if (awaited.get() != nullptr && it->version.value >= awaitedVersion)
+                awaited->fulfill();
         };
         client = std::make_unique<SourceClient>(io, SourceClientSettings { { { "mesh" }, {}, { "n" } }, sources, rpc::Role::NODE }, std::move(hooks));
     }
@@ -153,112 +154,112 @@
     {
         if (!versions.empty() && versions.back() >= version)
             return;
-        wanted = version;
+        awaitedVersion = version;
         auto done = kj::newPromiseAndFulfiller<void>();
-        waiting = kj::mv(done.fulfiller);
+        awaited = kj::mv(done.fulfiller);
         io.provider->getTimer().timeoutAfter(20 * kj::SECONDS, kj::mv(done.promise)).wait(io.waitScope);
     }
     std::vector<uint64_t> versions;
-    uint64_t wanted = 0;
-    kj::Own<kj::PromiseFulfiller<void>> waiting;
+    uint64_t awaitedVersion = 0;
+    kj::Own<kj::PromiseFulfiller<void>> awaited;
     std::unique_ptr<SourceClient> client;
 };
 
 } // namespace
 
-TEST_CASE("a subscriber that cannot use a delta gets the whole version next", "[control][distribution]")
+TEST_CASE("a subscriber that cannot apply a delta gets a whole snapshot next", "[control][distribution]")
 {
-    // A delta was lost or made for another version. Guessing would leave a mixture of two versions on the node.
-    ByHand it;
+    // Guards against a mixture of two versions on a node after a lost delta or one for another base version.
+    ManualDistributor it;
     it.release(5);
     it.release(6);
-    it.subscribe(5, [](const Taken& taken) -> kj::Promise<uint64_t> { return taken.from.value == 0 ? taken.version.value : 0; });
-    REQUIRE(it.taken.size() == 2);
-    CHECK(it.taken[0].from.value == 5);
-    CHECK(it.taken[1].from.value == 0);
-    CHECK(it.taken[1].version.value == 6);
+    it.subscribe(5, [](const ReceivedContent& received) -> kj::Promise<uint64_t> { return received.from.value == 0 ? received.version.value : 0; });
+    REQUIRE(it.received.size() == 2);
+    CHECK(it.received[0].from.value == 5);
+    CHECK(it.received[1].from.value == 0);
+    CHECK(it.received[1].version.value == 6);
 }
 
-TEST_CASE("a subscriber that refuses a version is sent the next one and not the same one again and again", "[control][distribution]")
+TEST_CASE("a version that a subscriber rejects is not sent again, but the next one is", "[control][distribution]")
 {
-    // A node of an older release refuses a version that it cannot check. Resending at once would fill the link and both
-    // processes for as long as the version stands.
-    ByHand it;
+    // Guards against resending in a loop, which would keep the link and both processes busy: a node of an older release
+    // rejects a version that it cannot validate.
+    ManualDistributor it;
     it.release(5);
-    it.subscribe(0, [](const Taken& taken) -> kj::Promise<uint64_t> { return taken.version.value == 5 ? 0 : taken.version.value; });
-    it.pass(1000);
-    CHECK(it.taken.size() == 1);
+    it.subscribe(0, [](const ReceivedContent& received) -> kj::Promise<uint64_t> { return received.version.value == 5 ? 0 : received.version.value; });
+    it.advance(1000);
+    CHECK(it.received.size() == 1);
     it.release(6);
-    it.pass(1000);
-    REQUIRE(it.taken.size() == 2);
-    CHECK(it.taken[1].version.value == 6);
+    it.advance(1000);
+    REQUIRE(it.received.size() == 2);
+    CHECK(it.received[1].version.value == 6);
 }
 
-TEST_CASE("a subscriber that does not answer holds one message and then skips to the newest version", "[control][distribution]")
+TEST_CASE("a subscriber that does not answer has one message in flight and then gets the newest version", "[control][distribution]")
 {
-    // A node hangs for a minute while fifty changes pass. Queued for it, they would grow in the source's memory for each
-    // hanging node, and the node would enforce outdated versions one after the other when it wakes.
-    ByHand it;
+    // Guards against a queue per subscriber: a node hangs while fifty changes are released. Queued changes would use memory
+    // in the source, and the node would apply outdated versions one after the other when it continues.
+    ManualDistributor it;
     it.release(1);
     auto hang = kj::newPromiseAndFulfiller<uint64_t>();
     bool first = true;
-    it.subscribe(0, [&](const Taken& taken) -> kj::Promise<uint64_t> {
-        return std::exchange(first, false) ? kj::mv(hang.promise) : kj::Promise<uint64_t>(taken.version.value);
+    it.subscribe(0, [&](const ReceivedContent& received) -> kj::Promise<uint64_t> {
+        return std::exchange(first, false) ? kj::mv(hang.promise) : kj::Promise<uint64_t>(received.version.value);
     });
     for (uint64_t version = 2; version <= 50; ++version) {
         it.release(version);
-        it.pass(100);
+        it.advance(100);
     }
-    CHECK(it.taken.size() == 1);
+    CHECK(it.received.size() == 1);
     hang.fulfiller->fulfill(1);
     it.scope.poll();
-    REQUIRE(it.taken.size() == 2);
-    CHECK(it.taken[1].version.value == 50);
+    REQUIRE(it.received.size() == 2);
+    CHECK(it.received[1].version.value == 50);
 }
 
-// Guards against: a session whose last call ends after the process's parts, and that takes itself out of a distributor that is gone.
+// Guards against a use after free: a session whose last call ends after its process is destroyed unsubscribes then.
 TEST_CASE("a subscription may outlive its distributor", "[control][distribution]")
 {
-    std::vector<control::Subscription> kept;
+    std::vector<control::Subscription> outlivingSubscriptions;
     {
-        ByHand it;
-        it.subscribe(0, [](const Taken&) -> kj::Promise<uint64_t> { return kj::NEVER_DONE; });
+        ManualDistributor it;
+        it.subscribe(0, [](const ReceivedContent&) -> kj::Promise<uint64_t> { return kj::NEVER_DONE; });
         it.subscriptions.clear();
         CHECK(it.distributor.subscribers() == 0);
-        it.subscribe(0, [](const Taken&) -> kj::Promise<uint64_t> { return kj::NEVER_DONE; });
+        it.subscribe(0, [](const ReceivedContent&) -> kj::Promise<uint64_t> { return kj::NEVER_DONE; });
         CHECK(it.distributor.subscribers() == 1);
-        kept = std::move(it.subscriptions);
+        outlivingSubscriptions = std::move(it.subscriptions);
     }
-    kept.clear();
+    outlivingSubscriptions.clear();
 }
 
-TEST_CASE("changes that come close together leave as one message", "[control][distribution]")
+TEST_CASE("changes within the batching interval are sent as one message", "[control][distribution]")
 {
-    // A rollout step, a keeper change and an operator's change within 20 ms: three messages to each of hundreds of nodes
-    // would cost three times the bytes for nothing.
-    ByHand it;
+    // Guards against one message per change: a rollout step, a keeper change and an operator's change within 20 ms would
+    // cost three messages to each of hundreds of nodes.
+    ManualDistributor it;
     it.release(1);
-    it.subscribe(0, [](const Taken& taken) -> kj::Promise<uint64_t> { return taken.version.value; });
-    it.pass(100);
+    it.subscribe(0, [](const ReceivedContent& received) -> kj::Promise<uint64_t> { return received.version.value; });
+    it.advance(100);
     for (uint64_t version = 2; version <= 4; ++version)
         it.release(version);
-    it.pass(snapshot(1)->pace.batch.ms - 1);
-    CHECK(it.taken.size() == 1);
-    it.pass(1);
-    REQUIRE(it.taken.size() == 2);
-    CHECK(it.taken[1].version.value == 4);
+    it.advance(snapshot(1)->pace.batch.ms - 1);
+    CHECK(it.received.size() == 1);
+    it.advance(1);
+    REQUIRE(it.received.size() == 2);
+    CHECK(it.received[1].version.value == 4);
 }
 
-TEST_CASE("a node whose source dies and whose next source lags does not go back", "[control][distribution]")
+TEST_CASE("a node that switches to a source that is behind keeps its newer version", "[control][distribution]")
 {
-    // The relay of a node dies; the one that it finds next was cut off for a while and still has an older version. Were
-    // it taken, a withdrawn upstream version would get traffic again on this node.
+    // Guards against a return to an older version: the node's relay dies and the next one was partitioned and still has an
+    // older version. Applying it would send traffic to an upstream version that was rolled back.
     auto io = kj::setupAsyncIo();
-    TestSource ahead(io, wide());
-    TestSource behind(io, wide());
+    TestSource ahead(io, unlimited());
+    TestSource behind(io, unlimited());
     ahead.distributor.contentReleased(snapshot(5));
     behind.distributor.contentReleased(snapshot(3));
-    ahead.floor = behind.floor = 3;
+    ahead.minVersion = behind.minVersion = 3;
     behind.port->stopListening(); // so that the node begins at the other one
     TestNode node(io, { ahead.address, behind.address });
     node.waitFor(io, 5);
@@ -271,142 +272,144 @@
     CHECK(node.versions == std::vector<uint64_t> { 5, 6 });
 }
 
-TEST_CASE("nodes leave a source that has lost the other control processes, and come back if none is better", "[control][distribution]")
+TEST_CASE("nodes leave an isolated source, and return if all sources are isolated", "[control][distribution]")
 {
-    // A control host is cut off from the others silently and for long, but not from its nodes. They would stay on its
-    // old version while everybody else moves on. When all sources are cut off, nodes must not be without any.
+    // Guards against nodes that stay on an old version: a control host is silently partitioned from the other control hosts,
+    // but not from its nodes. If all sources are isolated, nodes must still have one.
     auto io = kj::setupAsyncIo();
-    TestSource cut(io, wide());
-    TestSource well(io, wide());
-    cut.distributor.contentReleased(snapshot(1));
-    well.distributor.contentReleased(snapshot(2));
-    well.port->stopListening(); // so that the node begins at the other one
-    TestNode node(io, { cut.address, well.address });
+    TestSource isolated(io, unlimited());
+    TestSource connected(io, unlimited());
+    isolated.distributor.contentReleased(snapshot(1));
+    connected.distributor.contentReleased(snapshot(2));
+    connected.port->stopListening(); // so that the node begins at the other one
+    TestNode node(io, { isolated.address, connected.address });
     node.waitFor(io, 1);
-    REQUIRE(well.port->listen(well.address));
-    cut.distributor.setIsolated(true);
+    REQUIRE(connected.port->listen(connected.address));
+    isolated.distributor.setIsolated(true);
     node.waitFor(io, 2);
-    CHECK(cut.distributor.toJson()["subscribers"] == 0);
+    CHECK(isolated.distributor.toJson()["subscribers"] == 0);
 
-    well.distributor.setIsolated(true);
-    while (cut.distributor.toJson()["subscribers"] == 0 && well.distributor.toJson()["subscribed"] == 1)
+    connected.distributor.setIsolated(true);
+    while (isolated.distributor.toJson()["subscribers"] == 0 && connected.distributor.toJson()["subscribed"] == 1)
         io.provider->getTimer().afterDelay(5 * kj::MILLISECONDS).wait(io.waitScope);
-    cut.distributor.contentReleased(snapshot(3));
-    well.distributor.contentReleased(snapshot(3));
+    isolated.distributor.contentReleased(snapshot(3));
+    connected.distributor.contentReleased(snapshot(3));
     node.waitFor(io, 3);
     CHECK(node.versions == std::vector<uint64_t> { 1, 2, 3 });
 }
 
-// Guards against: a node over a crowded link that returns to a source behind a cut, since another isolated one answered late.
-TEST_CASE("nodes that leave isolated sources over slow links stay at connected ones", "[control][distribution]")
+// Guards against a node on a congested link that returns to an isolated source because another isolated one answered late.
+TEST_CASE("nodes that leave isolated sources over slow links stay with a connected one", "[control][distribution]")
 {
     auto io = kj::setupAsyncIo();
-    TestSource left(io, wide());
-    TestSource alsoCut(io, wide());
-    TestSource well(io, wide());
-    left.distributor.contentReleased(snapshot(1));
-    alsoCut.distributor.contentReleased(snapshot(1));
-    well.distributor.contentReleased(snapshot(2));
-    alsoCut.port->stopListening(); // so that the nodes begin at the first
-    well.port->stopListening();
+    TestSource isolatedFirst(io, unlimited());
+    TestSource isolatedSlow(io, unlimited());
+    TestSource connected(io, unlimited());
+    isolatedFirst.distributor.contentReleased(snapshot(1));
+    isolatedSlow.distributor.contentReleased(snapshot(1));
+    connected.distributor.contentReleased(snapshot(2));
+    isolatedSlow.port->stopListening(); // so that the nodes start with the first source
+    connected.port->stopListening();
     std::vector<std::unique_ptr<TestNode>> nodes;
     nodes.reserve(24);
     for (int n = 0; n < 24; ++n)
-        nodes.push_back(std::make_unique<TestNode>(io, std::vector { left.address, alsoCut.address, well.address }));
+        nodes.push_back(std::make_unique<TestNode>(io, std::vector { isolatedFirst.address, isolatedSlow.address, connected.address }));
     for (const auto& it : nodes)
         it->waitFor(io, 1);
-    alsoCut.linkDelay = { 400 };
-    REQUIRE(alsoCut.port->listen(alsoCut.address));
-    REQUIRE(well.port->listen(well.address));
-    left.distributor.setIsolated(true);
-    alsoCut.distributor.setIsolated(true);
+    isolatedSlow.linkDelay = { 400 };
+    REQUIRE(isolatedSlow.port->listen(isolatedSlow.address));
+    REQUIRE(connected.port->listen(connected.address));
+    isolatedFirst.distributor.setIsolated(true);
+    isolatedSlow.distributor.setIsolated(true);
     for (const auto& it : nodes)
         it->waitFor(io, 2);
 }
 
-// Guards against: a node that found only an isolated source and stays there long after a connected one is within reach.
-TEST_CASE("a node at an isolated source finds a connected one that comes within reach", "[control][distribution]")
+// Guards against a node that found only isolated sources and stays there although a connected one has become reachable.
+TEST_CASE("a node at an isolated source switches to a connected one that becomes reachable", "[control][distribution]")
 {
     auto io = kj::setupAsyncIo();
-    TestSource cut(io, wide());
-    TestSource well(io, wide());
-    cut.distributor.contentReleased(snapshot(1));
-    well.distributor.contentReleased(snapshot(2));
-    well.port->stopListening();
-    TestNode node(io, { cut.address, well.address });
+    TestSource isolated(io, unlimited());
+    TestSource connected(io, unlimited());
+    isolated.distributor.contentReleased(snapshot(1));
+    connected.distributor.contentReleased(snapshot(2));
+    connected.port->stopListening();
+    TestNode node(io, { isolated.address, connected.address });
     node.waitFor(io, 1);
-    cut.distributor.setIsolated(true);
-    const auto subscribed = [&] { return cut.distributor.toJson()["subscribed"].get<int>(); };
+    isolated.distributor.setIsolated(true);
+    const auto subscribed = [&] { return isolated.distributor.toJson()["subscribed"].get<int>(); };
     while (subscribed() < 2)
         io.provider->getTimer().afterDelay(5 * kj::MILLISECONDS).wait(io.waitScope);
-    REQUIRE(well.port->listen(well.address));
+    REQUIRE(connected.port->listen(connected.address));
     node.waitFor(io, 2);
     CHECK(subscribed() <= 3);
 }
 
 TEST_CASE("a node does not wait for a source whose host has no power", "[control][distribution]")
 {
-    // All hosts lose power; nodes are up again while control hosts are not. What a node sends to such a host is lost without a
-    // word and sent again a second later. Control was there meanwhile, and callers were turned away for that second.
+    // Guards against a start that is delayed by a connect retransmission: after a power loss some control hosts are still
+    // down, and packets to them are dropped silently and resent after one second. Callers were rejected for that second
+    // although another source was up.
     auto io = kj::setupAsyncIo();
-    DeafAddress deaf;
-    TestSource well(io, wide());
-    well.distributor.contentReleased(snapshot(2));
-    constexpr int nodes = 8; // half of them begin with the deaf one
+    DeafAddress unresponsive;
+    TestSource connected(io, unlimited());
+    connected.distributor.contentReleased(snapshot(2));
+    constexpr int nodes = 8; // half of them start with the unresponsive address
     const base::Time since = base::steadyNow();
     std::vector<std::unique_ptr<TestNode>> all;
     all.reserve(nodes);
     for (int n = 0; n < nodes; ++n)
-        all.push_back(std::make_unique<TestNode>(io, std::vector { deaf.address, well.address }));
+        all.push_back(std::make_unique<TestNode>(io, std::vector { unresponsive.address, connected.address }));
     for (const auto& it : all)
         it->waitFor(io, 2);
     CHECK(base::steadyNow() - since < base::Duration { 900 });
 }
 
-TEST_CASE("nodes that start do not stay with a source that has not been let in yet", "[control][distribution]")
+TEST_CASE("starting nodes do not stay with a source that is not a member yet", "[control][distribution]")
 {
-    // All hosts lose power and one control host its disk as well. With nothing to read it listens first, and every node that
-    // waits for control links to it; callers were turned away until it was let in and had caught up, beside sources that
-    // could have served all the while.
+    // Guards against nodes that wait for an empty source: after a power loss, a control host that also lost its disk has
+    // nothing to read and listens first, so all waiting nodes connect to it. Callers were rejected until it was a member and
+    // had caught up, although other sources could serve its nodes.
     auto io = kj::setupAsyncIo();
-    control_test::TestControl empty(io, control_test::Begins::Empty);
-    TestSource well(io, wide());
-    well.distributor.contentReleased(snapshot(2));
-    well.port->stopListening(); // so that the node begins at the other one
-    TestNode node(io, { empty.process.listen().value(), well.address });
+    control_test::TestControl empty(io, control_test::StartState::NotMember);
+    TestSource connected(io, unlimited());
+    connected.distributor.contentReleased(snapshot(2));
+    connected.port->stopListening(); // so that the node begins at the other one
+    TestNode node(io, { empty.process.listen().value(), connected.address });
     while (node.client->counters().connects == 0)
         io.provider->getTimer().afterDelay(5 * kj::MILLISECONDS).wait(io.waitScope);
-    REQUIRE(well.port->listen(well.address));
+    REQUIRE(connected.port->listen(connected.address));
     node.waitFor(io, 2);
     CHECK(node.versions == std::vector<uint64_t> { 2 });
 }
 
-TEST_CASE("a replica that hears what is released before it has it names no lower version", "[control][distribution]")
+TEST_CASE("a replica that learns the released index before the entries does not answer with a lower version", "[control][distribution]")
 {
-    // A control host's disk is lost and its replica catches up while all nodes start again. The leader's word of what is released
-    // reaches it before the entries; asked for the least version, it named the one that it had, none at all, and nodes that
-    // had been at version 65 served by 64 until the next delta came.
+    // Guards against nodes that start with an older version: a replica that lost its disk catches up while all nodes restart,
+    // and gets the leader's released index before the entries. It answered with its own version, which was empty, and nodes
+    // that had applied version 65 served with 64 until the next delta.
     auto io = kj::setupAsyncIo();
-    control_test::TestControl empty(io, control_test::Begins::Empty);
+    control_test::TestControl empty(io, control_test::StartState::NotMember);
     consensus::Append ahead;
     ahead.previousIndex = { 5 };
     ahead.previousTerm = { 1 };
     ahead.commit = { 5 };
     ahead.released = { 5 };
-    empty.process.consensusMessage({ { 1 }, { 9 }, { 1 }, ahead });
+    empty.process.onConsensusMessage({ { 1 }, { 9 }, { 1 }, ahead });
     REQUIRE(consensus::releasedIndex(*empty.process.replica()).value == 5);
-    auto least = empty.process.released({ 5 });
-    const auto answer = least.wait(io.waitScope); // within its own limit
+    auto least = empty.process.waitForRelease({ 5 });
+    const auto answer = least.wait(io.waitScope); // within its own timeout
     REQUIRE_FALSE(answer);
     CHECK(answer.error().code == base::Code::NoQuorum);
 }
 
-TEST_CASE("a starting node takes nothing below what a majority of voters recorded", "[control][distribution]")
+TEST_CASE("a starting node applies no version below the one that a majority of voters recorded", "[control][distribution]")
 {
-    // The node's memory is gone and its source lags. Content below the proven version is kept but not in force.
+    // Guards against a return to an older version: the node has no state and its source is behind. Content below the proven
+    // version is kept but not applied.
     auto io = kj::setupAsyncIo();
-    TestSource source(io, wide());
-    source.floor = 7;
+    TestSource source(io, unlimited());
+    source.minVersion = 7;
     source.distributor.contentReleased(snapshot(6));
     TestNode node(io, { source.address });
     while (config::heldVersion(node.client->applied()).value != 6 || !node.client->applied().floor)
@@ -417,16 +420,16 @@
     CHECK(node.versions == std::vector<uint64_t> { 7 });
 }
 
-TEST_CASE("nodes that ask before a source has met the voters hear as soon as it has", "[control][distribution]")
+TEST_CASE("boot reads that begin before a voter is linked finish as soon as one is", "[control][distribution]")
 {
-    // Everything was without power and starts at once. The nodes ask for the least version that they may have before any
-    // voter is there; told only when a whole second has passed in vain, they serve nobody for that second.
+    // Guards against nodes that wait for the timeout of a round: after a power loss everything starts at once, and nodes
+    // request their minimum version before any voter is linked. They would serve no requests for the whole second.
     kj::EventLoop loop;
     kj::WaitScope waitScope(loop);
     const kj::TimePoint start = kj::origin<kj::TimePoint>();
     kj::TimerImpl timer(start);
     bool voterIsThere = false;
-    base::LogIndex shown; // to be released, by the same answers
+    base::LogIndex shown; // released index proven by the same answers
     consensus::Members members;
     members.list = { { { 1 }, { "v1" }, consensus::Role::Voter, {} } };
     control::BootReads reads(
@@ -438,25 +441,25 @@
     voterIsThere = true;
     timer.advanceTo(start + 100 * kj::MILLISECONDS);
     REQUIRE(answer.poll(waitScope));
-    const auto floor = answer.wait(waitScope);
-    REQUIRE(floor);
-    CHECK(floor.value().value == 7);
+    const auto minVersion = answer.wait(waitScope);
+    REQUIRE(minVersion);
+    CHECK(minVersion.value().value == 7);
     CHECK(shown.value == 7); // without waiting for a leader
 
     voterIsThere = false;
-    auto vain = reads.read();
+    auto unanswered = reads.read();
     for (int ms = 150; ms <= 1100; ms += 50) {
-        CHECK_FALSE(vain.poll(waitScope));
+        CHECK_FALSE(unanswered.poll(waitScope));
         timer.advanceTo(start + ms * kj::MILLISECONDS);
     }
-    REQUIRE(vain.poll(waitScope));
-    CHECK_FALSE(vain.wait(waitScope));
+    REQUIRE(unanswered.poll(waitScope));
+    CHECK_FALSE(unanswered.wait(waitScope));
 }
 
-TEST_CASE("a herd is let in at the source's own pace, and all of it gets in", "[control][distribution][herd]")
+TEST_CASE("many simultaneous starts are admitted at the configured rate, and all are admitted", "[control][distribution][herd]")
 {
-    // A rack comes back and 200 nodes connect within a few milliseconds. The source says how many it can bring up; it is
-    // never asked for more, the others come when they were told, and nobody is left out.
+    // Guards against an overloaded source: a rack restarts and 200 nodes connect within a few milliseconds. The source never
+    // admits more than its rate; the others retry at their assigned times, and all are admitted in the end.
     auto io = kj::setupAsyncIo();
     control::DistributorLimits limits;
     limits.starts.perSecond = 200;
@@ -476,10 +479,10 @@
     CHECK(source.distributor.toJson()["came_back_later"].get<int64_t>() >= 100);
 }
 
-TEST_CASE("keepers are spread over zones and change only for a host that was gone for long", "[control][keepers]")
+TEST_CASE("keepers are spread over availability zones and change only for a host that was absent for long", "[control][keepers]")
 {
-    // While the keeper set changes, old and new keepers must both grant, so each change makes keyed requests slower and
-    // more fragile. A restarting host must not cause one; a host that is gone for good must not stay for ever.
+    // Guards against needless changes: while the keeper set changes, old and new keepers must both grant, so keyed requests
+    // are slower and fail more easily. A restart must not cause a change, but a permanently lost host must be replaced.
     config::EndpointRegistry endpoints;
     const auto announce = [&](const std::string& host, const std::string& zone, config::EndpointState state, uint64_t sequence) {
         config::Endpoint it;
@@ -504,8 +507,8 @@
     CHECK_FALSE(control::chooseKeepers(choice, none, endpoints, { 100'999 }));
     const auto first = control::chooseKeepers(choice, none, endpoints, { 101'000 });
     REQUIRE(first);
-    CHECK(first->size() == control::mostKeepers);
-    CHECK(first->at(7).host.text == "b1"); // sorted by host: each small zone is in
+    CHECK(first->size() == control::maxKeepers);
+    CHECK(first->at(7).host.text == "b1"); // sorted by host: each small zone has a keeper
     CHECK(first->at(8).host.text == "c1");
 
     const config::KeeperSet agreed { { 1 }, *first, {} };
@@ -518,7 +521,7 @@
     CHECK_FALSE(control::chooseKeepers(choice, agreed, endpoints, { 309'999 }));
     const auto next = control::chooseKeepers(choice, agreed, endpoints, { 310'000 });
     REQUIRE(next);
-    CHECK(next->size() == control::mostKeepers);
+    CHECK(next->size() == control::maxKeepers);
     CHECK(std::none_of(next->begin(), next->end(), [](const auto& it) { return it.host.text == "b1"; }));
     const config::KeeperSet changing { { 2 }, *first, *next };
     CHECK_FALSE(control::chooseKeepers(choice, changing, endpoints, { 400'000 }));
--- a/tests/control_first_keepers_test.cpp
+++ b/tests/control_first_keepers_test.cpp
@@ -1,4 +1,4 @@
-// The first set of keepers and nodes that come up slowly.
+// Formation of the first keeper set while nodes start slowly.
 #include "appletally/control/keeper_choice.h"
 #include "appletally/policy/claim_keeper.h"
 
@@ -6,18 +6,18 @@
 
 using namespace appletally;
 
-TEST_CASE("the first keepers are agreed only once each of them has seen that there were none", "[control][keepers]")
+TEST_CASE("the first keeper set forms only after each member has applied a version without keepers", "[control][keepers]")
 {
-    // Upstreams announce themselves before their nodes have a first version, since these still prove where to start. The
-    // first version that they get then has keepers, so each takes itself for restarted and waits for the others, and
-    // a crew's plug commands are answered with "outcome unknown" until the claims' window has passed.
+    // Guards against keepers that wait for each other: upstreams announce themselves while their nodes still prove their
+    // boot version. If the first version of a node already has keepers, each keeper assumes that it was restarted, and
+    // keyed requests are answered with "outcome unknown" until the claim lifetime has passed.
     const std::vector<config::Keeper> members = { { { "a" }, {} }, { { "b" }, {} }, { { "c" }, {} } };
     control::Convergence convergence;
-    CHECK_FALSE(control::firstSetMayForm(members, convergence));
-    control::heard(convergence, { { { "a" }, { 1 }, { 6 }, {}, false }, { { "b" }, { 1 }, { 6 }, {}, false }, { { "c" }, { 1 }, { 0 }, {}, false } }, { 0 });
-    CHECK_FALSE(control::firstSetMayForm(members, convergence));
-    control::heard(convergence, { { { "c" }, { 1 }, { 6 }, {}, false } }, { 0 });
-    CHECK(control::firstSetMayForm(members, convergence));
+    CHECK_FALSE(control::mayProposeFirstSet(members, convergence));
+    control::recordReports(convergence, { { { "a" }, { 1 }, { 6 }, {}, false }, { { "b" }, { 1 }, { 6 }, {}, false }, { { "c" }, { 1 }, { 0 }, {}, false } }, { 0 });
+    CHECK_FALSE(control::mayProposeFirstSet(members, convergence));
+    control::recordReports(convergence, { { { "c" }, { 1 }, { 6 }, {}, false } }, { 0 });
+    CHECK(control::mayProposeFirstSet(members, convergence));
 
     const config::KeeperSet first { { 1 }, members, {} };
     policy::ClaimKeeper late = policy::startKeeper({ "a" }, { 1 }, { 0 });
--- a/tests/control_fixture.h
+++ b/tests/control_fixture.h
@@ -1,4 +1,4 @@
-// A control process in the test's own loop, on a folder that goes with it.
+// Runs a control process in the test's event loop, with a temporary data folder.
 #pragma once
 
 #include "appletally/consensus/disk_log.h"
@@ -11,12 +11,12 @@
 
 using namespace appletally;
 
-enum class Begins { Alone, // leads a log of its own
-    Empty }; // waits to be let in by others
+enum class StartState { Leader, // leader of a log with this replica only
+    NotMember }; // empty folder, waits until a leader adds it
 
 struct TestControl {
-    TestControl(kj::AsyncIoContext& io, Begins begins)
-        : process(io, settings(), disk(begins))
+    TestControl(kj::AsyncIoContext& io, StartState startState)
+        : process(io, settings(), disk(startState))
     {
     }
 
@@ -29,10 +29,10 @@
         return out;
     }
 
-    consensus::DiskLog disk(Begins begins) const
+    consensus::DiskLog disk(StartState startState) const
     {
         std::vector<consensus::Member> members;
-        if (begins == Begins::Alone)
+        if (startState == StartState::Leader)
             members.push_back({ { 9 }, { "c" }, consensus::Role::Voter, {} });
         REQUIRE(consensus::formatFolder(consensus::systemFileCalls(), folder / "data", { { 9 }, { "c" }, members }));
         return consensus::openFolder(consensus::systemFileCalls(), folder / "data").value();
