--- a/tests/control_gate_test.cpp
+++ b/tests/control_gate_test.cpp
@@ -1,4 +1,4 @@
-// The inner ports against peers that are no members, broken, or silent.
+// Authentication at the inner ports, and handling of foreign, broken or silent peers.
 #include "appletally/inner/rpc_link.h"
 #include "appletally/inner/rpc_port.h"
 
@@ -21,7 +21,7 @@
     return out;
 }
 
-// A port and its clients in one loop. Time is real, but nothing waits for it: each wait ends with the event itself.
+// A port and its clients in one event loop. The clock is real, but each wait ends with an event, not after a fixed time.
 struct PortFixture {
     kj::AsyncIoContext io = kj::setupAsyncIo();
     RpcPort port { io, member("mesh", 1), [](rpc::Role, const base::HostId&) -> rpc::Session::Client { return kj::heap<PlainSession>(); } };
@@ -35,7 +35,7 @@
         return parsed->connect().wait(io.waitScope);
     }
 
-    // Whether the port closes the connection without any answer that a client could take for a session.
+    // Whether the port closes the connection.
     bool closes(kj::AsyncIoStream& stream)
     {
         char buf[4096];
@@ -56,10 +56,10 @@
 
 } // namespace
 
-TEST_CASE("only a holder of the key of the same cluster is let in, and each refusal says why", "[control][gate]")
+TEST_CASE("only members with the cluster's name and key are admitted, and each rejection names the cause", "[control][gate]")
 {
-    // A host of the test mesh was given the addresses of the real one. It must not take part, and its operator must see
-    // which of the two settings is wrong.
+    // Guards against a host that joins the wrong mesh: a host of the test mesh is configured with addresses of the real one.
+    // Its operator must see which of the two settings is wrong.
     PortFixture it;
     auto good = it.link(member("mesh", 1));
     REQUIRE(good);
@@ -79,8 +79,8 @@
 
 TEST_CASE("a client with a wrong key that ignores the server's proof still gets no session", "[control][gate]")
 {
-    // A process that only pretends to be a member does not care whether the server proved itself; it goes on and sends
-    // any proof. Without the check of it, it could submit configurations.
+    // Guards against an unchecked client proof: a process without the key ignores the server's proof and sends an arbitrary
+    // one. If accepted, it could submit configurations.
     PortFixture it;
     RpcConnection connection(it.io.provider->getTimer(), it.raw(), RpcConnection::End::Client, nullptr);
     auto gate = connection.bootstrap().castAs<rpc::Gate>();
@@ -103,10 +103,10 @@
     CHECK(it.port.counters().proven == 0);
 }
 
-TEST_CASE("garbage and messages over the limit close their own connection only", "[control][gate]")
+TEST_CASE("invalid or oversized messages close only their own connection", "[control][gate]")
 {
-    // A port scanner, a browser, or a broken peer sends bytes that are no message, or announces a message of two
-    // gigabytes. The process must neither end nor reserve that memory, and its other links must not notice.
+    // Guards against a crash or a large allocation: a port scanner, a browser or a broken peer sends bytes that are no
+    // message, or announces a message of two gigabytes. Other links must not be affected.
     PortFixture it;
     auto good = it.link(member("mesh", 1));
     REQUIRE(good);
@@ -118,7 +118,7 @@
     const std::string http = "GET / HTTP/1.1\r\nHost: a\r\n\r\n" + std::string(4096, 'x');
     const std::string tooManySegments("\xff\xff\xff\x7f\0\0\0\0", 8);
     const std::string tooLarge("\0\0\0\0\0\0\0\x10", 8); // one segment of 2 GiB
-    const std::string noMessage = std::string("\0\0\0\0\1\0\0\0", 8) + std::string(8, '\xff'); // a pointer to nowhere
+    const std::string noMessage = std::string("\0\0\0\0\1\0\0\0", 8) + std::string(8, '\xff'); // an invalid pointer
     const Bad bads[] = { { http, &PortCounters::tooLarge }, { tooManySegments, &PortCounters::tooLarge }, { tooLarge, &PortCounters::tooLarge }, { noMessage, nullptr } };
     for (const Bad& bad : bads) {
         const uint64_t before = bad.counter ? it.port.counters().*bad.counter : 0;
@@ -131,9 +131,9 @@
     it.works(*good.value());
 }
 
-TEST_CASE("a peer that connects and says nothing is shed", "[control][gate]")
+TEST_CASE("a connection without authentication is closed after a timeout", "[control][gate]")
 {
-    // Something opens connections and leaves them. Each would hold a descriptor for ever, until no node gets in.
+    // Guards against idle connections that hold file descriptors until no node can connect.
     PortFixture it;
     auto stream = it.raw();
     CHECK(it.closes(*stream));
@@ -141,14 +141,15 @@
     CHECK(it.link(member("mesh", 1)));
 }
 
-TEST_CASE("a link that goes silent for good is ended by both sides", "[control][gate][silence]")
+TEST_CASE("a link that goes silent permanently is closed by both sides", "[control][gate][silence]")
 {
-    // A box between two hosts forgets the connection: nothing arrives any more in either direction, and neither end is
-    // told. A node would wait for the next version for ever. The relay below drops all bytes once told to.
+    // Guards against a node that waits for the next version for ever: a network device between two hosts loses its connection
+    // state, and packets are dropped in both directions without a reset. The pipe below drops all bytes once `dropping` is
+    // set.
     PortFixture it;
     auto listener = it.io.provider->getNetwork().parseAddress("127.0.0.1", 0).wait(it.io.waitScope)->listen();
     const base::Address middle { "127.0.0.1", static_cast<uint16_t>(listener->getPort()) };
-    bool forgotten = false;
+    bool dropping = false;
     struct Pipe {
         kj::Own<kj::AsyncIoStream> from;
         kj::Own<kj::AsyncIoStream> to;
@@ -160,7 +161,7 @@
         return from.tryRead(bytes, 1, buf.size()).then([&, bytes](size_t n) -> kj::Promise<void> {
                                                      if (n == 0)
                                                          return kj::READY_NOW;
-                                                     return (forgotten ? kj::Promise<void>(kj::READY_NOW) : to.write(bytes, n)).then([&] { return pass(from, to); });
+                                                     return (dropping ? kj::Promise<void>(kj::READY_NOW) : to.write(bytes, n)).then([&] { return pass(from, to); });
                                                  })
             .attach(kj::mv(buf));
     };
@@ -174,7 +175,7 @@
     REQUIRE(linked);
     it.works(*linked.value());
     auto over = whenOver(*linked.value());
-    forgotten = true;
+    dropping = true;
     const base::Time began = base::steadyNow();
     CHECK(over.wait(it.io.waitScope).code == base::Code::PeerSilent);
     CHECK(base::steadyNow() - began < rpcSilenceLimit + rpcBeatEvery * 3);
--- a/tests/control_process_test.cpp
+++ b/tests/control_process_test.cpp
@@ -1,4 +1,4 @@
-// Control processes as users run them: killed, frozen, emptied, raced and pestered.
+// Control processes as users run them: killed, frozen, with lost disks, concurrent changes and invalid peers.
 #include "appletally/base/result.h"
 #include "process_fixture.h"
 
@@ -106,7 +106,7 @@
         return json::parse(it.out);
     }
 
-    // By what the voters say of themselves; asks until one says that it leads.
+    // Polls the voters' dumps until one reports that it leads.
     int leader() const
     {
         for (;;) {
@@ -136,10 +136,10 @@
 
 } // namespace
 
-TEST_CASE("kill -9 of the leading voter in the middle of a submit costs time and nothing else", "[process][control]")
+TEST_CASE("kill -9 of the leader during a submit loses no change and applies none twice", "[process][control]")
 {
-    // The host of the leader loses power while an operator's change is under way. The operator must get the answer, once,
-    // and a resend of the same number must get the same one.
+    // Guards against a lost or doubled change: the host of the leader loses power during an operator's change. The operator
+    // must get its outcome, and a resend with the same number must get the same one.
     Mesh mesh;
     std::set<uint64_t> accepted { versionIn(mesh.submit("ann", answers("team", 9))) };
     for (int round = 0; round < 3; ++round) {
@@ -156,10 +156,10 @@
     CHECK(versionsIn(mesh.read("versions")) == accepted);
 }
 
-TEST_CASE("a frozen leader is replaced, and follows when it is thawed", "[process][control]")
+TEST_CASE("a frozen leader is replaced, and follows the new one after it resumes", "[process][control]")
 {
-    // A leader's host hangs for some seconds (SIGSTOP) and comes back still believing that it leads. Changes go on
-    // meanwhile, and what it says after the thaw changes nothing that was accepted.
+    // Guards against a stale leader: the leader's host hangs for some seconds (SIGSTOP) and resumes as leader of an old term.
+    // Changes must go on meanwhile, and its messages must not alter what was accepted.
     Mesh mesh;
     const uint64_t first = versionIn(mesh.submit("ann", answers("team", 10)));
     const int frozen = mesh.leader();
@@ -167,7 +167,7 @@
     const uint64_t second = versionIn(mesh.submit("ann", answers("team", 11)));
     CHECK(second > first);
     for (int n = 0; n < 3; ++n) {
-        if (n != frozen) // released before the thawed one hears of it at all
+        if (n != frozen) // released before the frozen replica receives it
             mesh.voters[n].waitLine({ "version-released", "version " + std::to_string(second) });
     }
     mesh.voters[frozen].signal(SIGCONT);
@@ -176,10 +176,10 @@
     CHECK(mesh.dump(frozen)["version"] == second);
 }
 
-TEST_CASE("a lost disk comes back as another replica, and a second host may be lost after the repair", "[process][control]")
+TEST_CASE("a host with a lost disk returns as a new replica, and after its repair another host may be lost", "[process][control]")
 {
-    // A voter's disk is swapped. Its empty folder must not vote in the old one's name; after the operator has replaced
-    // it, the loss of another host must not lose a version.
+    // Guards against a lost version: a voter's disk is replaced. The empty replica must not vote under the old id, and after
+    // the operator has replaced the voter, the loss of another host must not lose a version.
     Mesh mesh;
     const uint64_t first = versionIn(mesh.submit("ann", answers("team", 10)));
     const int lost = (mesh.leader() + 1) % 3;
@@ -194,8 +194,8 @@
     const uint64_t fresh = mesh.dump(lost)["replica"]["replica"];
     CHECK(fresh != old);
     const uint64_t second = versionIn(mesh.submit("ann", answers("team", 11)));
-    CHECK(mesh.dump(lost)["version"] == 0); // not let in yet
-    // It knows nothing; asked alone, it must not pass that off as the state of the mesh.
+    CHECK(mesh.dump(lost)["version"] == 0); // not a member yet
+    // It has no state: a read from this process alone must be marked as possibly outdated.
     const std::string alone = mesh.operatorSettings("alone");
     writeFile(alone, { { "cluster", "test" }, { "key", key }, { "operator", "alone" }, { "voters", { mesh.ports[lost]->address() } }, { "patience_ms", 500 } });
     CHECK(run("appletallyctl", { alone, "versions" }).err.find("may be old") != std::string::npos);
@@ -212,10 +212,10 @@
     CHECK(versionsIn(mesh.read("versions")) == std::set<uint64_t> { first, second, third });
 }
 
-TEST_CASE("of two operators who change the same answers at once, one wins and the other hears who", "[process][control]")
+TEST_CASE("of two concurrent changes to the same answers one succeeds, and the other fails and names the winner", "[process][control]")
 {
-    // Two people on call react to the same alarm. Both changes started from the same version; were both taken, the
-    // second would silently undo the first.
+    // Guards against a lost update: two operators react to the same alarm with changes based on the same version. If both
+    // were accepted, the second would silently undo the first.
     Mesh mesh;
     const std::string from = std::to_string(versionIn(mesh.submit("eve", answers("team", 5))));
     Program ann("appletallyctl", mesh.submission("ann", answers("team", 10), { "--request", "1", "--base", from }));
@@ -233,9 +233,9 @@
     CHECK(mesh.read("versions").size() == 2);
 }
 
-TEST_CASE("a wrong key and garbage at the port are refused, counted, and harm nobody", "[process][control]")
+TEST_CASE("a wrong key and invalid bytes are rejected and counted, and do not affect other clients", "[process][control]")
 {
-    // Someone with the address but not the key tries, and a scanner sends a web request.
+    // Guards against access without the key, and against a port scanner's HTTP request that disturbs the process.
     Mesh mesh;
     const Finished wrong = run("appletallyctl", { mesh.operatorSettings("mallory", std::string(64, 'b')), "status" });
     CHECK(wrong.code == base::exitCode(base::Code::WrongKey));
@@ -256,10 +256,10 @@
     CHECK(versionIn(mesh.submit("ann", answers("team", 10))) != 0);
 }
 
-TEST_CASE("nodes that start with an empty memory wait for a majority of voters and never start too low", "[process][control]")
+TEST_CASE("starting nodes wait for a majority of voters and never start with an older version", "[process][control]")
 {
-    // A rack restarts while two of three voters do not answer. The third one may lag: led by it alone, the nodes could
-    // go back behind what they enforced before. They stay "not ready" until a majority has spoken.
+    // Guards against a return to an older version: a rack restarts while two of three voters do not answer, and the third
+    // one may be behind. The nodes must stay "not ready" until a majority answers.
     Mesh mesh;
     const uint64_t version = versionIn(mesh.submit("ann", answers("team", 10)));
     const int alone = (mesh.leader() + 1) % 3;
@@ -271,7 +271,7 @@
     writeFile(mesh.folder / "light.json", { { "cluster", "test" }, { "key", key }, { "prefix", "n" }, { "nodes", 5 }, { "sources", { mesh.ports[alone]->address() } } });
     Program nodes("light-nodes", { mesh.folder / "light.json" });
     nodes.waitLine({ "\"ready\":0", "\"snapshots\":5" });
-    nodes.waitLine({ "\"ready\":0", "\"snapshots\":5" }); // a second later still
+    nodes.waitLine({ "\"ready\":0", "\"snapshots\":5" }); // still so one second later
     for (int n = 0; n < 3; ++n) {
         if (n != alone)
             mesh.voters[n].signal(SIGCONT);
@@ -279,9 +279,10 @@
     nodes.waitLine({ "at_ms", "\"version\":" + std::to_string(version) });
 }
 
-TEST_CASE("a stop is graceful and bounded, and settings are checked whole", "[process][control]")
+TEST_CASE("shutdown is graceful and bounded, and settings are validated completely", "[process][control]")
 {
-    // A stop in the middle of an upgrade must end with code 0; a mistyped key must not start a process at all.
+    // Guards against an upgrade that fails because a stop does not exit with code 0, and against a process that starts with
+    // a mistyped key in its settings.
     Mesh mesh;
     mesh.voters[2].signal(SIGTERM);
     mesh.voters[2].waitLine({ "stopped" });
@@ -298,11 +299,11 @@
     CHECK(run("appletally-control", { mesh.folder / "twice.json" }).code == base::exitCode(base::Code::AddressInUse));
 }
 
-TEST_CASE("a voter that starts again applies its log without a line for each change", "[process][control]")
+TEST_CASE("a restarting voter applies its log without logging each change", "[process][control]")
 {
-    // All of control loses power after a series of changes. Each start tells every old change anew before it listens, and on
-    // a thirteenth of a core nodes that start with it serve nobody for half a second longer; operators read dozens of
-    // acceptances that happened minutes ago.
+    // Guards against a slow start: after a power loss each control process logged every old change again before it listened.
+    // With a thirteenth of a core, nodes served no requests for half a second longer, and the logs showed changes as accepted
+    // that were minutes old.
     Mesh mesh;
     for (int slots = 1; slots <= 6; ++slots)
         versionIn(mesh.submit("crew", answers("plugs", slots)));
--- a/tests/formation_test.cpp
+++ b/tests/formation_test.cpp
@@ -1,4 +1,5 @@
-// A mesh that finds itself: first members, lost disks, damaged folders; and the small modules that came with it.
+// Formation of a mesh without a fixed list of voters: first members, lost disks, damaged folders. Also small modules: route
+// matching, traffic splits, log budget, metrics.
 #include "appletally/base/log.h"
 #include "appletally/base/loop_stalls.h"
 #include "appletally/base/metrics_text.h"
@@ -32,77 +33,77 @@
     return out;
 }
 
-// Lets time pass until the replica sends something, and says when.
-base::Time nextQuestion(consensus::Replica& replica, base::Time& now, uint64_t luck)
+// Advances `now` until the replica sends a message, and returns that time.
+base::Time nextMessageTime(consensus::Replica& replica, base::Time& now, uint64_t random)
 {
     consensus::Ready ready;
     while (ready.messages.empty() && now.ms < 30'000) {
         now = now + base::Duration { 25 };
-        ready = consensus::step(replica, consensus::Tick {}, now, luck);
+        ready = consensus::step(replica, consensus::Tick {}, now, random);
     }
     return now;
 }
 
 } // namespace
 
-TEST_CASE("seeds that start in any order are the same first voters, everybody else waits to be let in", "[formation]")
+TEST_CASE("seeds that start in any order derive the same first voters, all other hosts wait to be added", "[formation]")
 {
-    const auto one = control::formationOf(settingsAt("10.0.0.1", true), { 9 });
-    const auto three = control::formationOf(settingsAt("10.0.0.3", true), { 8 });
+    const auto one = control::formatOptionsFor(settingsAt("10.0.0.1", true), { 9 });
+    const auto three = control::formatOptionsFor(settingsAt("10.0.0.3", true), { 8 });
     CHECK(one.members == three.members);
     REQUIRE(one.members.size() == 3);
     CHECK(one.id != three.id);
     CHECK(std::any_of(one.members.begin(), one.members.end(), [&](const consensus::Member& it) { return it.id == one.id && it.host.text == "10.0.0.1:70" && it.role == consensus::Role::Voter; }));
-    const auto further = control::formationOf(settingsAt("10.0.0.4", true), { 7 });
+    const auto further = control::formatOptionsFor(settingsAt("10.0.0.4", true), { 7 });
     CHECK(further.members.empty());
     CHECK(further.id.value == 7);
 }
 
-TEST_CASE("a host that lost its disk comes back as another replica", "[formation]")
+TEST_CASE("a host that lost its disk returns as another replica", "[formation]")
 {
-    // A control host loses its disk just after it promised a vote. Under its old id it would vote again in the same term,
-    // and two leaders could stand.
-    const auto again = control::formationOf(settingsAt("10.0.0.1", false), { 9 });
+    // Guards against two leaders in one term: a control host loses its disk just after it promised a vote. Under its old id
+    // it would vote again in the same term.
+    const auto again = control::formatOptionsFor(settingsAt("10.0.0.1", false), { 9 });
     CHECK(again.members.empty());
     CHECK(again.id.value == 9);
 }
 
-TEST_CASE("voters that all start again ask for a leader at once, and one that lost its leader later takes its time", "[formation][consensus]")
+TEST_CASE("restarted voters start an election early, and one that lost its leader waits for the election timeout", "[formation][consensus]")
 {
-    // All of control loses power for a second. Nodes that start again may have no version before a leader has said which is
-    // released, so each tenth of a second until one stands is a tenth in which nobody is served.
+    // Guards against a long outage after a power loss of all control hosts: restarted nodes may apply no version before a
+    // leader reports which one is released, so they serve no requests until an election has succeeded.
     consensus::Durable disk;
     disk.id = { 1 };
     for (const uint64_t id : { 1, 2, 3 })
         disk.snapshot.meta.members.list.push_back({ { id }, { "v" + std::to_string(id) }, consensus::Role::Voter, {} });
-    for (const uint64_t luck : { uint64_t { 0 }, UINT64_MAX }) {
+    for (const uint64_t random : { uint64_t { 0 }, UINT64_MAX }) {
         consensus::Replica replica = consensus::make(disk, {});
         base::Time now { 1000 };
-        bool asks = false;
-        while (!asks && now.ms < 3000) {
-            const consensus::Ready ready = consensus::step(replica, consensus::Tick {}, now, luck);
-            asks = !ready.messages.empty();
+        bool sent = false;
+        while (!sent && now.ms < 3000) {
+            const consensus::Ready ready = consensus::step(replica, consensus::Tick {}, now, random);
+            sent = !ready.messages.empty();
             now = now + base::Duration { 25 };
         }
         CHECK(now.ms - 1000 <= 350);
         CHECK(now.ms - 1000 >= 150);
-        // Nobody answers: the links to the others did not stand yet. It asks again as soon as that.
+        // No replica answers, since the links are not up yet. The next election starts as early.
         const base::Time before = now;
-        CHECK(nextQuestion(replica, now, luck) - before >= base::Duration { 125 });
+        CHECK(nextMessageTime(replica, now, random) - before >= base::Duration { 125 });
         CHECK(now - before <= base::Duration { 350 });
-        // A leader is heard, once. From then on an election has its whole timeout.
+        // After one message from a leader, the full election timeout applies.
         consensus::Append heard;
         heard.round = 1;
-        consensus::step(replica, consensus::Received { { { 2 }, { 1 }, { 7 }, heard } }, now, luck);
+        consensus::step(replica, consensus::Received { { { 2 }, { 1 }, { 7 }, heard } }, now, random);
         const base::Time lost = now;
-        CHECK(nextQuestion(replica, now, luck) - lost >= base::Duration { 500 });
-        const base::Time asked = now;
-        CHECK(nextQuestion(replica, now, luck) - asked >= base::Duration { 450 });
+        CHECK(nextMessageTime(replica, now, random) - lost >= base::Duration { 500 });
+        const base::Time secondElection = now;
+        CHECK(nextMessageTime(replica, now, random) - secondElection >= base::Duration { 450 });
     }
 }
 
-// Guards against: a dead host that is still counted, so that the loss of another leaves no majority.
-TEST_CASE("a control host that is gone for good is taken out once another has taken its place", "[formation]")
+// Guards against a dead host that still counts as a voter, so that the loss of another one leaves no majority.
+TEST_CASE("a permanently lost control host is removed once another one has replaced it", "[formation]")
 {
     const auto membersOf = [](const std::vector<uint64_t>& ids) {
         consensus::Members out;
@@ -113,7 +114,7 @@
     policy::LostVoters lost;
     const consensus::Members three = membersOf({ 1, 2, 3 });
     CHECK_FALSE(policy::nextLost(lost, three, { { 1 }, { 2 } }, false, { 0 }));
-    CHECK_FALSE(policy::nextLost(lost, three, { { 1 }, { 2 } }, false, { 60'000 })); // nobody has come for it
+    CHECK_FALSE(policy::nextLost(lost, three, { { 1 }, { 2 } }, false, { 60'000 })); // no replacement yet
     const consensus::Members four = membersOf({ 1, 2, 3, 4 });
     CHECK(policy::nextLost(lost, four, { { 1 }, { 2 }, { 4 } }, false, { 61'000 }) == base::ReplicaId { 3 });
 
@@ -139,11 +140,11 @@
     CHECK(policy::nextLost(replaced, three, { { 1 }, { 2 } }, true, { 2000 }) == base::ReplicaId { 3 });
 }
 
-TEST_CASE("a damaged folder is set aside and its replica starts anew", "[formation]")
+TEST_CASE("a damaged folder is renamed and its replica starts with a new id", "[formation]")
 {
     process_test::Folder folder;
     const control::ControlSettings settings = settingsAt("10.0.0.1", true, folder / "data");
-    const auto first = control::openOrForm(consensus::systemFileCalls(), settings);
+    const auto first = control::openOrFormat(consensus::systemFileCalls(), settings);
     REQUIRE(first);
     const base::ReplicaId id = first.value().id;
     consensus::DiskLog log = first.value();
@@ -151,14 +152,14 @@
     const int fd = ::open((folder / "data/snapshot").c_str(), O_WRONLY);
     REQUIRE(::pwrite(fd, "damage", 6, 4) == 6);
     ::close(fd);
-    auto anew = control::openOrForm(consensus::systemFileCalls(), settings);
-    REQUIRE(anew);
-    CHECK(anew.value().id != id);
-    CHECK(anew.value().snapshot.meta.members.list.empty());
-    consensus::closeFolder(anew.value());
+    auto reopened = control::openOrFormat(consensus::systemFileCalls(), settings);
+    REQUIRE(reopened);
+    CHECK(reopened.value().id != id);
+    CHECK(reopened.value().snapshot.meta.members.list.empty());
+    consensus::closeFolder(reopened.value());
 }
 
-TEST_CASE("routes of a host go before those of any host, and a prefix that ends in a slash covers only what is below", "[config]")
+TEST_CASE("routes for a host precede routes for any host, and a prefix that ends in a slash matches only paths below it", "[config]")
 {
     config::Snapshot snapshot;
     const auto add = [&](const std::string& name, const std::string& host, const std::string& prefix) {
@@ -185,7 +186,7 @@
     CHECK(found("x.example", "/ab/") == "none");
 }
 
-TEST_CASE("a part of a route's traffic gets its weight, also over few requests", "[policy][split]")
+TEST_CASE("traffic splits match their weights, also over few requests", "[policy][split]")
 {
     policy::SplitTurns turns;
     const std::vector<config::RouteSplit> splits { { { "a" }, 90 }, { { "b" }, 10 }, { { "c" }, 0 } };
@@ -197,10 +198,10 @@
     CHECK(got["c"] == 0);
 }
 
-TEST_CASE("a node that has just started runs what other nodes send it, and calls no route unknown", "[node]")
+TEST_CASE("a node without a configuration runs requests from other nodes instead of answering that their route is unknown", "[node]")
 {
-    // The node beside an upstream restarts and has no configuration yet. Callers of other nodes, who have one, were told
-    // that their route does not exist, and their clients gave up for good.
+    // Guards against wrong permanent errors: the node beside an upstream restarts and has no configuration yet. Callers of
+    // other nodes got the answer that their route does not exist, and their clients did not retry.
     TestMesh mesh;
     TestUpstream upstream(mesh.loop());
     TestNode& caller = mesh.addNode("a", "z1");
@@ -210,7 +211,7 @@
     const uint16_t port = owner.addresses.inner.port;
     mesh.removeNode("b");
     const base::WallTime removed = base::wallNow();
-    mesh.run([&] { return base::wallNow() > removed; }); // starts within one millisecond have no order, and no process starts that fast
+    mesh.run([&] { return base::wallNow() > removed; }); // starts within the same millisecond have no order; real processes take longer
     TestNode& again = mesh.addNode("b", "z1");
     CHECK(again.addresses.inner.port != port);
     mesh.announce(again, upstream, "ready");
@@ -221,10 +222,10 @@
     CHECK(answer->body == "t");
 }
 
-TEST_CASE("lines about requests have a budget, failures their own, and what is left out is counted", "[log]")
+TEST_CASE("log lines about requests have a budget, failures a separate one, and omitted lines are counted", "[log]")
 {
-    // At ten times overload a node refuses a thousand requests a second. Written one by one, the lines take the processor
-    // that would have served the others.
+    // Guards against logging that uses up the processor: at ten times overload a node rejects a thousand requests per second
+    // and would write a line for each.
     base::LogBudget budget;
     int failures = 0;
     for (int n = 0; n < 1000; ++n) {
@@ -238,7 +239,7 @@
     CHECK(base::mayWrite(budget, base::Event::RequestRefused, { 1003 }));
 }
 
-TEST_CASE("the page of metrics has what the processes serve", "[log]")
+TEST_CASE("the metrics page lists all metrics of the processes", "[log]")
 {
     std::ifstream in(std::string(SOURCE_FOLDER) + "/docs/METRICS.md");
     const std::string page((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
@@ -273,9 +274,9 @@
     CHECK(text.text().find("snapshot") == std::string::npos);
 }
 
-TEST_CASE("a full pipe on standard output and a SIGHUP stop nothing", "[process][node]")
+TEST_CASE("a full pipe on standard output and a SIGHUP do not stop a node", "[process][node]")
 {
-    // Whoever collects the logs hangs. A process that waited for it would stop serving, for want of somebody to tell.
+    // Guards against a node that blocks on logging: the log collector hangs and does not read the pipe.
     process_test::Folder folder;
     process_test::Port callers;
     process_test::Port inner;
@@ -289,7 +290,7 @@
     node.waitLine({ "started" });
     node.signal(SIGHUP);
     TestMesh mesh;
-    for (int n = 0; n < 1500; ++n) { // some hundred bytes each, several times what a pipe holds, and nobody reads
+    for (int n = 0; n < 1500; ++n) { // a few hundred bytes each, several times the capacity of a pipe that is not read
         const auto answer = mesh.askRaw({ "127.0.0.1", callers.number() }, "GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
         REQUIRE(mesh.run([&] { return answer->done; }));
         REQUIRE(answer->body.find("HTTP/1.1 503") == 0);
--- a/tests/rollout_upstreams_test.cpp
+++ b/tests/rollout_upstreams_test.cpp
@@ -1,4 +1,5 @@
-// Rollouts against the upstreams that are there: a control process that leads alone, and the nodes' reports played by hand.
+// Rollouts depend on the ready upstreams of each version: a control process that is its own leader, with simulated node
+// reports.
 #include "control_fixture.h"
 
 using namespace control_test;
@@ -31,7 +32,7 @@
         document.services[service].service.name = service;
         document.services[service].text = "{}";
         REQUIRE(control.process.submitDocument(document).wait(io.waitScope));
-        control.process.nodeReport(announcements("v1", 3));
+        control.process.onNodeReport(announcements("v1", 3));
     }
 
     template <typename Done>
@@ -45,7 +46,7 @@
 
     const config::State& state() { return *control.process.committedState().wait(io.waitScope).value(); }
 
-    // The version that has all traffic once the rollout has ended.
+    // Returns the version that has all traffic after the rollout has ended.
     std::string moveTo(const char* version)
     {
         REQUIRE(control.process.moveTraffic({ service, {}, { version }, { 1000 }, {} }).wait(io.waitScope));
@@ -56,25 +57,27 @@
     }
 
     kj::AsyncIoContext io = kj::setupAsyncIo();
-    TestControl control { io, Begins::Alone };
+    TestControl control { io, StartState::Leader };
 };
 
 } // namespace
 
-// Guards against: a rollout that completes by its schedule though no upstream runs the new version, and leaves its service without any.
-TEST_CASE("a rollout to a version that nothing runs is taken back", "[control][rollout]")
+// Guards against a rollout that completes on schedule although no upstream runs the new version, so that its service has
+// no upstream.
+TEST_CASE("a rollout to a version without upstreams is rolled back", "[control][rollout]")
 {
     Mesh mesh;
     CHECK(mesh.moveTo("v2") == "v1");
     CHECK(mesh.state().ended.back().end == config::RolloutEnd::TakenBack);
 }
 
-// Guards against: operators who stop the old version while the new one's upstreams cannot carry its traffic.
-TEST_CASE("a rollout completes only with half as many upstreams of the new version as of the old", "[control][rollout]")
+// Guards against a completed rollout, after which operators stop the old version, while the new version has too few
+// upstreams for its traffic.
+TEST_CASE("a rollout completes only if the new version has at least half as many upstreams as the old one", "[control][rollout]")
 {
     Mesh mesh;
-    mesh.control.process.nodeReport(announcements("few", 1));
+    mesh.control.process.onNodeReport(announcements("few", 1));
     CHECK(mesh.moveTo("few") == "v1");
-    mesh.control.process.nodeReport(announcements("enough", 2));
+    mesh.control.process.onNodeReport(announcements("enough", 2));
     CHECK(mesh.moveTo("enough") == "enough");
 }
