--- a/src/appletally/config/commands.cpp
+++ b/src/appletally/config/commands.cpp
@@ -14,7 +14,7 @@
     constexpr size_t maxReasonBytes = 1024;
 
     // Minimum size in bytes of a command that is compressed in the log; compression saves little on shorter ones.
-    constexpr size_t minCompressedBytes = 1024;
+    constexpr size_t minBytesToCompress = 1024;
 
     // In the order of the alternatives of Command.
     const std::vector<std::string> kinds = { "submit", "start_rollout", "stop_rollout", "set_share", "take_back", "complete_rollout", "set_keepers", "finish_keepers", "submit_document", "move_traffic" };
@@ -183,7 +183,7 @@
 std::string encodeForLog(const Command& command)
 {
     std::string out = encode(command);
-    return out.size() >= minCompressedBytes ? compress(out) : out;
+    return out.size() >= minBytesToCompress ? compress(out) : out;
 }
 
 base::Result<Command> decodeCommand(std::string_view bytes)
