--- a/bench/apply_costs.cpp
+++ b/bench/apply_costs.cpp
@@ -1,9 +1,9 @@
-// What one change of an operator's document costs a control process, by the number of routes: applying it, and writing the
-// state's bytes as a snapshot of the log does. A restart applies all changes since the last snapshot before it serves, so
-// the two together say how often a snapshot pays. Also times each step of processing a first document and a change of ten
-// routes, at the leader, a follower and a node.
+// Measures what one change of an operator's document costs a control process, by number of routes: the time to apply the
+// change and the time to encode the state, as a log snapshot does. A restarted process applies all changes since the last
+// snapshot before it serves, so the two figures together determine the best snapshot interval. Also times each step of
+// processing a first document and a change of ten routes, at the leader, at a follower and at a node.
 //
-// Use: apply-costs
+// Usage: apply-costs
 #include "appletally/config/state_machine.h"
 #include "appletally/inner/content.h"
 
@@ -13,9 +13,9 @@
 using namespace appletally;
 using namespace appletally::config;
 
-static constexpr int rounds = 200;
+static constexpr int changeCount = 200;
 
-static Document documentOf(int routes, uint64_t number)
+static Document makeDocument(int routes, uint64_t number)
 {
     Document out;
     out.id = { { number }, { number - 1 }, "digest-" + std::to_string(number) };
@@ -32,7 +32,7 @@
         it.route.pathPrefix = "/part" + std::to_string(n) + "/";
         it.route.service = { n % 2 == 0 ? "plug-control" : "berth-data" };
         it.route.timeout = { n == 0 ? 1000 + static_cast<int64_t>(number) : 2000 };
-        it.text = it.route.pathPrefix + std::to_string(it.route.timeout.ms) + std::string(200, 'x'); // about as long as a route is
+        it.text = it.route.pathPrefix + std::to_string(it.route.timeout.ms) + std::string(200, 'x'); // about the length of a real route
         out.routes[it.route.name] = it;
     }
     return out;
@@ -48,8 +48,8 @@
     State state;
     std::vector<std::string> commands;
     DocumentTexts before;
-    for (uint64_t number = 1; number <= rounds + 1; ++number) {
-        const Document document = documentOf(routes, number);
+    for (uint64_t number = 1; number <= changeCount + 1; ++number) {
+        const Document document = makeDocument(routes, number);
         commands.push_back(encode(Command { SubmitDocument { document.id, changeFrom(before, document), { 1 } } }));
         before = {};
         for (const auto& [name, it] : document.routes)
@@ -60,17 +60,17 @@
     }
     const Outcome first = apply(state, { 1 }, commands[0]);
     if (first.code != base::Code::Ok)
-        std::printf("refused: %s\n", first.text.c_str());
+        std::printf("rejected: %s\n", first.text.c_str());
     const auto start = std::chrono::steady_clock::now();
-    for (uint64_t n = 1; n <= rounds; ++n)
+    for (uint64_t n = 1; n <= changeCount; ++n)
         apply(state, { n + 1 }, commands[n]);
-    const double each = microsSince(start) / rounds;
-    const auto encoding = std::chrono::steady_clock::now();
+    const double microsPerChange = microsSince(start) / changeCount;
+    const auto encodeStart = std::chrono::steady_clock::now();
     const std::string bytes = encode(state);
-    const double writing = microsSince(encoding);
-    const auto decoding = std::chrono::steady_clock::now();
-    const bool read = decodeState(bytes).has_value();
-    std::printf("%6d routes: %8.0f us a change, %8.0f us to write the state (%zu bytes), %8.0f us to read it%s\n", routes, each, writing, bytes.size(), microsSince(decoding), read ? "" : " (failed)");
+    const double encodeMicros = microsSince(encodeStart);
+    const auto decodeStart = std::chrono::steady_clock::now();
+    const bool decoded = decodeState(bytes).has_value();
+    std::printf("%6d routes: %8.0f us per change, %8.0f us to encode the state (%zu bytes), %8.0f us to decode it%s\n", routes, microsPerChange, encodeMicros, bytes.size(), microsSince(decodeStart), decoded ? "" : " (failed)");
 }
 
 struct StepTime {
@@ -78,7 +78,7 @@
     double micros;
 };
 
-static std::vector<StepTime> timeSteps(State& state, const Document& document)
+static std::vector<StepTime> measureStepTimes(State& state, const Document& document)
 {
     std::vector<StepTime> out;
     auto start = std::chrono::steady_clock::now();
@@ -103,7 +103,7 @@
     recordStep("encode delta for nodes");
     Applied node;
     if (!inner::apply(node, full))
-        std::printf("the node refused the snapshot\n");
+        std::printf("the node rejected the snapshot\n");
     recordStep("apply snapshot at a node");
     encode(state);
     recordStep("encode the state");
@@ -113,11 +113,11 @@
 static void measureSteps(int routes)
 {
     State state;
-    const std::vector<StepTime> first = timeSteps(state, documentOf(routes, 1));
-    Document changed = documentOf(routes, 2);
+    const std::vector<StepTime> first = measureStepTimes(state, makeDocument(routes, 1));
+    Document changed = makeDocument(routes, 2);
     for (int n = 1; n < 10; ++n)
         changed.routes.at({ "route-" + std::to_string(n) }).text += "changed";
-    const std::vector<StepTime> second = timeSteps(state, changed);
+    const std::vector<StepTime> second = measureStepTimes(state, changed);
     std::printf("%6d routes, us: first document; ten routes changed\n", routes);
     for (size_t n = 0; n < first.size(); ++n)
         std::printf("    %-28s %8.0f %8.0f\n", first[n].name, first[n].micros, second[n].micros);
--- a/bench/light_nodes.cpp
+++ b/bench/light_nodes.cpp
@@ -1,7 +1,8 @@
-// Many nodes in one process, without any upstream: each has a link of its own, applies what it is given and reports it.
+// Simulates many nodes without upstreams in one process, to measure the distribution of configuration. Each node has its
+// own link to a source, applies the versions that it receives and reports them as applied.
 //
-// For measurements of distribution. Prints a JSON line for each version that all of its nodes have in force, with the
-// wall-clock times, and one line of byte counts a second.
+// Prints a JSON line with the wall-clock times for each version that all nodes of the process have applied, and a JSON
+// line of byte counts every second.
 #include "appletally/base/json_reader.h"
 #include "appletally/inner/source_client.h"
 
@@ -14,10 +15,10 @@
 
 struct BenchSettings {
     inner::Membership membership;
-    std::string prefix; // of the hosts' names
+    std::string prefix; // of the host names
     int64_t nodes = 0;
-    int64_t services = 1; // the nodes' endpoints are spread over so many
-    double changesPerSecond = 0; // of endpoint records, over all nodes of this process
+    int64_t services = 1; // the nodes' endpoints are distributed over this number of services
+    double changesPerSecond = 0; // changes of endpoint records, over all nodes of this process
     std::vector<base::Address> sources;
 };
 
@@ -34,13 +35,13 @@
         , m_settings(std::move(settings))
     {
         for (int64_t n = 0; n < m_settings.nodes; ++n)
-            start(n);
+            startNode(n);
     }
 
-    void run() { second().exclusiveJoin(churn()).wait(m_io.waitScope); }
+    void run() { reportEverySecond().exclusiveJoin(changeEndpoints()).wait(m_io.waitScope); }
 
 private:
-    void start(int64_t n)
+    void startNode(int64_t n)
     {
         auto node = std::make_unique<LightNode>();
         LightNode& it = *node;
@@ -52,56 +53,56 @@
         inner::SourceClientHooks hooks;
         hooks.released = [this, &it](const std::shared_ptr<const config::Snapshot>& snapshot) {
             it.client->inForce(snapshot->version);
-            note(snapshot->version);
+            recordApplied(snapshot->version);
         };
-        hooks.endpoints = [this](const std::vector<config::Endpoint>& endpoints) { m_records += endpoints.size(); };
+        hooks.endpoints = [this](const std::vector<config::Endpoint>& endpoints) { m_endpointRecords += endpoints.size(); };
         it.client = std::make_unique<inner::SourceClient>(m_io, std::move(settings), std::move(hooks));
         it.client->announce(it.endpoint);
         m_nodes.push_back(std::move(node));
     }
 
-    void note(base::ConfigVersion version)
+    void recordApplied(base::ConfigVersion version)
     {
-        std::vector<int64_t>& at = m_inForce[version.value];
-        at.push_back(base::wallNow().ms);
-        if (at.size() != m_nodes.size())
+        std::vector<int64_t>& appliedAtMs = m_appliedAtMs[version.value];
+        appliedAtMs.push_back(base::wallNow().ms);
+        if (appliedAtMs.size() != m_nodes.size())
             return;
-        std::cout << nlohmann::json({ { "version", version.value }, { "at_ms", at } }).dump() << std::endl;
-        m_inForce.erase(m_inForce.begin(), m_inForce.upper_bound(version.value));
+        std::cout << nlohmann::json({ { "version", version.value }, { "at_ms", appliedAtMs } }).dump() << std::endl;
+        m_appliedAtMs.erase(m_appliedAtMs.begin(), m_appliedAtMs.upper_bound(version.value));
     }
 
-    kj::Promise<void> second()
+    kj::Promise<void> reportEverySecond()
     {
         return m_timer.afterDelay(1 * kj::SECONDS).then([this] {
             uint64_t in = 0;
             uint64_t out = 0;
-            uint64_t later = 0;
-            uint64_t wholes = 0;
+            uint64_t retryLater = 0;
+            uint64_t fullSnapshots = 0;
             size_t ready = 0;
             for (const auto& it : m_nodes) {
                 const inner::SourceClientCounters sum = it->client->counters();
                 in += sum.bytesIn;
                 out += sum.bytesOut;
-                later += sum.cameBackLater;
-                wholes += sum.snapshots;
+                retryLater += sum.cameBackLater;
+                fullSnapshots += sum.snapshots;
                 ready += config::versionInForce(it->client->applied()).value != 0;
             }
-            std::cout << nlohmann::json({ { "wall_ms", base::wallNow().ms }, { "bytes_in", in }, { "bytes_out", out }, { "ready", ready }, { "came_back_later", later }, { "snapshots", wholes }, { "records", m_records } }).dump() << std::endl;
-            return second();
+            std::cout << nlohmann::json({ { "wall_ms", base::wallNow().ms }, { "bytes_in", in }, { "bytes_out", out }, { "ready", ready }, { "came_back_later", retryLater }, { "snapshots", fullSnapshots }, { "records", m_endpointRecords } }).dump() << std::endl;
+            return reportEverySecond();
         });
     }
 
-    kj::Promise<void> churn()
+    kj::Promise<void> changeEndpoints()
     {
         if (m_settings.changesPerSecond <= 0)
             return kj::NEVER_DONE;
-        const auto pause = static_cast<int64_t>(1e6 / m_settings.changesPerSecond);
-        return m_timer.afterDelay(pause * kj::MICROSECONDS).then([this] {
-            LightNode& it = *m_nodes[m_changed++ % m_nodes.size()];
+        const auto intervalMicros = static_cast<int64_t>(1e6 / m_settings.changesPerSecond);
+        return m_timer.afterDelay(intervalMicros * kj::MICROSECONDS).then([this] {
+            LightNode& it = *m_nodes[m_endpointChanges++ % m_nodes.size()];
             it.endpoint.state = it.endpoint.state == config::EndpointState::Ready ? config::EndpointState::Draining : config::EndpointState::Ready;
             ++it.endpoint.sequence.value;
             it.client->announce(it.endpoint);
-            return churn();
+            return changeEndpoints();
         });
     }
 
@@ -109,9 +110,9 @@
     kj::Timer& m_timer;
     BenchSettings m_settings;
     std::vector<std::unique_ptr<LightNode>> m_nodes;
-    std::map<uint64_t, std::vector<int64_t>> m_inForce;
-    uint64_t m_records = 0;
-    size_t m_changed = 0;
+    std::map<uint64_t, std::vector<int64_t>> m_appliedAtMs;
+    uint64_t m_endpointRecords = 0;
+    size_t m_endpointChanges = 0;
 };
 
 base::Result<BenchSettings> readSettings(const std::string& file)
@@ -143,7 +144,7 @@
 int main(int argc, char** argv)
 {
     if (argc != 2) {
-        std::cerr << "light-nodes SETTINGS.json\n";
+        std::cerr << "usage: light-nodes SETTINGS.json\n";
         return 2;
     }
     auto settings = readSettings(argv[1]);
--- a/bench/log_costs.cpp
+++ b/bench/log_costs.cpp
@@ -1,7 +1,7 @@
-// What the replicated log costs: messages, bytes and processor time for an accepted entry and for a second at rest, by
-// number of voters and learners, and what one synced write costs on a real folder.
+// Measures the cost of the replicated log: messages, bytes and processor time per accepted entry, bytes per second when
+// idle, by number of voters and learners, and the time of one synced write to a real folder.
 //
-// Use: log-costs FOLDER, which is made, written to and left with about 10 MB.
+// Usage: log-costs FOLDER. The folder is created and holds about 10 MB afterwards.
 #include "appletally/base/clock.h"
 #include "appletally/base/histogram.h"
 #include "appletally/consensus/disk_log.h"
@@ -13,12 +13,12 @@
 using namespace appletally;
 using namespace appletally::consensus;
 
-static constexpr size_t entryBytes = 2048; // about a rollout step or a compressed change of one team's answers
+static constexpr size_t entryBytes = 2048; // about the size of a rollout step or of a compressed change of one team's answers
 static constexpr int entries = 2000;
-static constexpr int restSeconds = 60;
-static constexpr uint64_t firstId = uint64_t { 1 } << 62; // ids as long as random ones
+static constexpr int idleSeconds = 60;
+static constexpr uint64_t firstId = uint64_t { 1 } << 62; // encoded as long as random ids
 
-// Replicas that hear each other at once, with disks that take no time.
+// A group of replicas with immediate message delivery and instantaneous disk writes.
 struct Group {
     std::vector<Replica> replicas;
     std::deque<Message> network;
@@ -41,10 +41,10 @@
         }
     }
 
-    void feed(Replica& replica, Input input)
+    void handleInput(Replica& replica, Input input)
     {
         ++steps;
-        // The first one stands first.
+        // The smallest election timeout makes the first replica stand for election first.
         Ready ready = step(replica, std::move(input), now, replica.id.value == firstId ? 0 : 499);
         accepted += ready.accepted.size();
         for (Message& it : ready.messages) {
@@ -57,48 +57,48 @@
         if (!ready.persist)
             return;
         ++writes;
-        feed(replica, Persisted { ready.persist->sequence });
+        handleInput(replica, Persisted { ready.persist->sequence });
     }
 
-    void settle()
+    void deliverMessages()
     {
         while (!network.empty()) {
             const Message m = std::move(network.front());
             network.pop_front();
-            feed(replicas[m.to.value - firstId], Received { m });
+            handleInput(replicas[m.to.value - firstId], Received { m });
         }
     }
 
-    void rest(int64_t ms)
+    void runIdle(int64_t ms)
     {
         for (int64_t n = 0; n < ms; n += 25) {
             now = now + base::Duration { 25 };
             for (Replica& it : replicas)
-                feed(it, Tick {});
-            settle();
+                handleInput(it, Tick {});
+            deliverMessages();
         }
     }
 
-    void clear() { messages = bytes = leaderBytes = writes = accepted = steps = 0; }
+    void resetCounters() { messages = bytes = leaderBytes = writes = accepted = steps = 0; }
 };
 
 static void measureGroup(size_t voters, size_t learners)
 {
     Group group(voters, learners);
-    group.rest(3000);
-    group.clear();
-    group.rest(restSeconds * 1000);
-    const double idle = static_cast<double>(group.leaderBytes) / restSeconds;
-    group.clear();
+    group.runIdle(3000);
+    group.resetCounters();
+    group.runIdle(idleSeconds * 1000);
+    const double idleBytesPerSecond = static_cast<double>(group.leaderBytes) / idleSeconds;
+    group.resetCounters();
     const int64_t begin = base::steadyMicros();
     for (int n = 0; n < entries; ++n) {
-        group.feed(group.replicas[0], Propose { static_cast<uint64_t>(n), std::string(entryBytes, 'x') });
-        group.settle();
+        group.handleInput(group.replicas[0], Propose { static_cast<uint64_t>(n), std::string(entryBytes, 'x') });
+        group.deliverMessages();
     }
     const double micros = static_cast<double>(base::steadyMicros() - begin);
-    const auto each = [&](uint64_t value) { return static_cast<double>(value) / static_cast<double>(group.accepted); };
-    std::printf("| %zu | %zu | %.0f | %.1f | %.0f | %.1f | %.1f |\n", voters, learners, idle, each(group.messages), each(group.bytes),
-        each(group.writes), micros / static_cast<double>(group.steps));
+    const auto perEntry = [&](uint64_t value) { return static_cast<double>(value) / static_cast<double>(group.accepted); };
+    std::printf("| %zu | %zu | %.0f | %.1f | %.0f | %.1f | %.1f |\n", voters, learners, idleBytesPerSecond, perEntry(group.messages), perEntry(group.bytes),
+        perEntry(group.writes), micros / static_cast<double>(group.steps));
 }
 
 static bool measureDisk(const std::string& folder)
@@ -122,19 +122,19 @@
     }
     closeFolder(log.value());
     const int64_t begin = base::steadyMicros();
-    const bool again = openFolder(calls, folder).has_value();
-    std::printf("\nsynced write of %zu bytes: median %.2f ms, 99 in 100 %.2f ms; opening %d entries: %.1f ms\n", entryBytes,
+    const bool reopened = openFolder(calls, folder).has_value();
+    std::printf("\nsynced write of %zu bytes: median %.2f ms, p99 %.2f ms; opening %d entries: %.1f ms\n", entryBytes,
         micros.quantile(0.5) / 1000, micros.quantile(0.99) / 1000, entries, static_cast<double>(base::steadyMicros() - begin) / 1000);
-    return again;
+    return reopened;
 }
 
 int main(int argc, char** argv)
 {
     if (argc != 2) {
-        std::fprintf(stderr, "use: log-costs FOLDER\n");
+        std::fprintf(stderr, "usage: log-costs FOLDER\n");
         return 2;
     }
-    std::puts("| voters | learners | leader's bytes a second at rest | messages an entry | bytes an entry | synced writes an entry | us a step |");
+    std::puts("| voters | learners | leader's bytes per second when idle | messages per entry | bytes per entry | synced writes per entry | us per step |");
     std::puts("| --- | --- | --- | --- | --- | --- | --- |");
     for (const auto& [voters, learners] : { std::pair<size_t, size_t> { 1, 0 }, { 3, 0 }, { 5, 0 }, { 5, 9 } })
         measureGroup(voters, learners);
--- a/bench/log_lines.cpp
+++ b/bench/log_lines.cpp
@@ -1,7 +1,8 @@
-// What a line about a request costs: written, left out for its second's budget, and below the least severity. A request
-// that goes to another host and is answered has three such lines, two at its caller's node and one at the upstream's.
+// Measures the cost of a log line about a request: when written, when dropped because the budget of its second is used
+// up, and when below the minimum severity. A request that is answered by another host causes three such lines, two at
+// the caller's node and one at the upstream's node.
 //
-// Use: log-lines >/dev/null; the figures go to standard error.
+// Usage: log-lines >/dev/null. The figures go to standard error.
 #include "appletally/base/log.h"
 
 #include <chrono>
@@ -9,7 +10,7 @@
 
 using namespace appletally;
 
-static double microsEach(int lines)
+static double microsPerLine(int lines)
 {
     const auto start = std::chrono::steady_clock::now();
     for (int n = 0; n < lines; ++n) {
@@ -22,12 +23,12 @@
 
 int main()
 {
-    const int budget = base::LogBudget {}.othersPerSecond;
-    constexpr int beyond = 100'000;
+    const int linesInBudget = base::LogBudget {}.othersPerSecond;
+    constexpr int droppedLines = 100'000;
     base::startLog("log-lines", "host", base::Severity::Info);
-    std::fprintf(stderr, "written:  %.3f us a line\n", microsEach(budget));
-    std::fprintf(stderr, "left out: %.3f us a line\n", microsEach(beyond));
+    std::fprintf(stderr, "written:  %.3f us per line\n", microsPerLine(linesInBudget));
+    std::fprintf(stderr, "dropped:  %.3f us per line\n", microsPerLine(droppedLines));
     base::startLog("log-lines", "host", base::Severity::Error);
-    std::fprintf(stderr, "off:      %.3f us a line\n", microsEach(beyond));
+    std::fprintf(stderr, "disabled: %.3f us per line\n", microsPerLine(droppedLines));
     return 0;
 }
--- a/bench/measure_rollout.cpp
+++ b/bench/measure_rollout.cpp
@@ -1,5 +1,6 @@
-// Rollouts of good and bad versions by kind and traffic, over the modules that control and nodes use: how many good ones
-// completed in time, how many bad ones were taken back, and what callers lost meanwhile. `scripts/measure rollout`.
+// Simulates rollouts of good and bad versions by scenario and traffic, with the modules that control processes and nodes
+// use. Reports how many good versions completed in time, how many bad versions were rolled back, and how many requests
+// failed or were too slow meanwhile. Run by `scripts/measure rollout`.
 #include "../tests/rollout_world.h"
 
 #include <cstdio>
@@ -13,16 +14,16 @@
 
 namespace {
 
-struct Kind {
+struct Scenario {
     std::string name;
     Fault fault;
     Weather weather;
     bool bad = false;
 };
 
-std::vector<Kind> kinds()
+std::vector<Scenario> makeScenarios()
 {
-    std::vector<Kind> out;
+    std::vector<Scenario> out;
     const auto good = [&](const char* name, Weather weather, double slower = 1) {
         Fault fault;
         fault.slower = slower;
@@ -36,12 +37,12 @@
     good("dependency fails for both", { .routeOutage = true });
     good("busier hosts", { .newBusier = true });
     good("noisy neighbour", { .noisyNeighbour = true });
-    good("control gone a while", { .controlGone = true });
-    bad("fails always, at once", { .failures = 1 });
-    bad("fails 20%, at once", { .failures = 0.2 });
-    bad("fails 5%, at once", { .failures = 0.05 });
-    bad("three times slower, at once", { .slower = 3 });
-    bad("stalls 10%, at once", { .stalls = 0.1 });
+    good("control unreachable for a while", { .controlGone = true });
+    bad("fails always, immediately", { .failures = 1 });
+    bad("fails 20%, immediately", { .failures = 0.2 });
+    bad("fails 5%, immediately", { .failures = 0.05 });
+    bad("three times slower, immediately", { .slower = 3 });
+    bad("stalls 10%, immediately", { .stalls = 0.1 });
     bad("fails always, later", { .failures = 1, .from = 0.25 });
     bad("fails 20%, later", { .failures = 0.2, .from = 0.25 });
     bad("three times slower, later", { .slower = 3, .from = 0.25 });
@@ -50,47 +51,47 @@
     bad("fails 50% on one route", { .failures = 0.5, .onlyRoute = 2 });
     bad("three times slower on one route", { .slower = 3, .onlyRoute = 2 });
     bad("fails 30% on a rare route", { .failures = 0.3, .onlyRoute = 3 });
-    bad("never gets warm", { .neverWarm = true });
+    bad("never leaves its cold start", { .neverWarm = true });
     return out;
 }
 
 struct Row {
     int cases = 0;
-    int completed = 0; // by completeBy
-    int takenBack = 0;
-    uint64_t hurt = 0;
-    double worstHurt = 0; // share of the worst route's requests
-    std::vector<int64_t> toZero; // ms
-    int64_t decisionToZero = 0; // longest
-    int raises = 0;
+    int completed = 0; // before the completion deadline
+    int rolledBack = 0;
+    uint64_t badAnswers = 0;
+    double worstBadShare = 0; // share of the worst route's requests, the largest of all cases
+    std::vector<int64_t> firstBadToZeroMs;
+    int64_t maxDecisionToZeroMs = 0;
+    int shareChanges = 0;
 };
 
-Row measure(const Kind& kind, double perSecond, config::Weighing weighing, int cases)
+Row measure(const Scenario& scenario, double requestsPerSecond, config::Weighing weighing, int cases)
 {
     Row row;
     for (int seed = 1; seed <= cases; ++seed) {
         Case it;
         it.seed = static_cast<uint64_t>(seed);
-        it.perSecond = perSecond;
-        it.fault = kind.fault;
-        it.weather = kind.weather;
+        it.perSecond = requestsPerSecond;
+        it.fault = scenario.fault;
+        it.weather = scenario.weather;
         it.weighing = weighing;
         it.callerBaselines = std::getenv("NO_BASELINES") == nullptr;
         const Outcome out = World(it).run();
-        if (std::getenv("WHY") && (out.end == RolloutAction::TakeBack) != kind.bad)
-            std::fprintf(stderr, "%s, %.0f/s, seed %d: %s\n", kind.name.c_str(), perSecond, seed, out.why.c_str());
+        if (std::getenv("WHY") && (out.end == RolloutAction::TakeBack) != scenario.bad)
+            std::fprintf(stderr, "%s, %.0f/s, seed %d: %s\n", scenario.name.c_str(), requestsPerSecond, seed, out.why.c_str());
         ++row.cases;
         row.completed += out.end == RolloutAction::Complete && out.endedAt.ms <= it.window.ms ? 1 : 0;
-        row.takenBack += out.end == RolloutAction::TakeBack ? 1 : 0;
-        row.hurt += out.hurt;
-        row.worstHurt = std::max(row.worstHurt, out.hurtShare);
-        row.raises += out.raises;
+        row.rolledBack += out.end == RolloutAction::TakeBack ? 1 : 0;
+        row.badAnswers += out.hurt;
+        row.worstBadShare = std::max(row.worstBadShare, out.hurtShare);
+        row.shareChanges += out.raises;
         if (out.end == RolloutAction::TakeBack) {
-            row.toZero.push_back(out.firstBadToZero.ms);
-            row.decisionToZero = std::max(row.decisionToZero, out.decisionToZero.ms);
+            row.firstBadToZeroMs.push_back(out.firstBadToZero.ms);
+            row.maxDecisionToZeroMs = std::max(row.maxDecisionToZeroMs, out.decisionToZero.ms);
         }
     }
-    std::sort(row.toZero.begin(), row.toZero.end());
+    std::sort(row.firstBadToZeroMs.begin(), row.firstBadToZeroMs.end());
     return row;
 }
 
@@ -99,54 +100,54 @@
     return sorted.empty() ? 0 : sorted[std::min(sorted.size() - 1, static_cast<size_t>(q * static_cast<double>(sorted.size())))];
 }
 
-void print(const Kind& kind, double perSecond, const Row& it)
+void printRow(const Scenario& scenario, double requestsPerSecond, const Row& it)
 {
-    std::printf("| %s | %.0f | %d | %d | %d | %.1f | %.2f%% | %lld | %lld | %lld | %.1f |\n", kind.name.c_str(), perSecond, it.cases, it.completed, it.takenBack,
-        static_cast<double>(it.hurt) / it.cases, 100 * it.worstHurt, static_cast<long long>(quantile(it.toZero, 0.5)),
-        static_cast<long long>(quantile(it.toZero, 0.95)), static_cast<long long>(it.decisionToZero), static_cast<double>(it.raises) / it.cases);
+    std::printf("| %s | %.0f | %d | %d | %d | %.1f | %.2f%% | %lld | %lld | %lld | %.1f |\n", scenario.name.c_str(), requestsPerSecond, it.cases, it.completed, it.rolledBack,
+        static_cast<double>(it.badAnswers) / it.cases, 100 * it.worstBadShare, static_cast<long long>(quantile(it.firstBadToZeroMs, 0.5)),
+        static_cast<long long>(quantile(it.firstBadToZeroMs, 0.95)), static_cast<long long>(it.maxDecisionToZeroMs), static_cast<double>(it.shareChanges) / it.cases);
 }
 
-struct Sum {
+struct Totals {
     int good = 0;
     int goodCompleted = 0;
-    int goodTakenBack = 0;
+    int goodRolledBack = 0;
     int bad = 0;
-    int badTakenBack = 0;
-    int badOverOnePercent = 0; // rows whose worst case is above 1%
+    int badRolledBack = 0;
+    int badOverOnePercent = 0; // rows whose worst case has more than 1% bad answers
 };
 
-void table(config::Weighing weighing, int cases)
+void printTable(config::Weighing weighing, int cases)
 {
-    const std::vector<Kind> all = kinds();
+    const std::vector<Scenario> scenarios = makeScenarios();
     const std::vector<double> traffic { 2, 20, 200 };
-    std::vector<Row> rows(all.size() * traffic.size());
-    // One thread for each traffic level, so that other work on the machine is left room.
+    std::vector<Row> rows(scenarios.size() * traffic.size());
+    // One thread per traffic level, which leaves processor time for other work on the machine.
     std::vector<std::thread> threads;
     for (size_t level = 0; level < traffic.size(); ++level)
         threads.emplace_back([&, level] {
-            for (size_t n = 0; n < all.size(); ++n)
-                rows[n * traffic.size() + level] = measure(all[n], traffic[level], weighing, cases);
+            for (size_t n = 0; n < scenarios.size(); ++n)
+                rows[n * traffic.size() + level] = measure(scenarios[n], traffic[level], weighing, cases);
         });
     for (std::thread& it : threads)
         it.join();
-    std::printf("\n%s\n\n", weighing == config::Weighing::SpeedAndTakeBack ? "Weighing take-back (Marsa Volt)" : "Weighing completion (Hlyab za Vsichki)");
-    std::printf("| version | requests/s | cases | completed in time | taken back | answers hurt per case | worst route hurt | first bad to zero, median ms | 95%% ms | decision to zero, longest ms | shares set per case |\n");
+    std::printf("\n%s\n\n", weighing == config::Weighing::SpeedAndTakeBack ? "Weighing speed and rollback (Marsa Volt)" : "Weighing completion and bytes (Hlyab za Vsichki)");
+    std::printf("| version | requests/s | cases | completed in time | rolled back | bad answers per case | worst route's bad share | first bad answer to zero, median ms | p95 ms | decision to zero, max ms | shares set per case |\n");
     std::printf("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
-    Sum sum;
-    for (size_t n = 0; n < all.size(); ++n) {
+    Totals totals;
+    for (size_t n = 0; n < scenarios.size(); ++n) {
         for (size_t level = 0; level < traffic.size(); ++level) {
             const Row& it = rows[n * traffic.size() + level];
-            print(all[n], traffic[level], it);
-            sum.good += all[n].bad ? 0 : it.cases;
-            sum.goodCompleted += all[n].bad ? 0 : it.completed;
-            sum.goodTakenBack += all[n].bad ? 0 : it.takenBack;
-            sum.bad += all[n].bad ? it.cases : 0;
-            sum.badTakenBack += all[n].bad ? it.takenBack : 0;
-            sum.badOverOnePercent += all[n].bad && it.worstHurt > 0.01 ? 1 : 0;
+            printRow(scenarios[n], traffic[level], it);
+            totals.good += scenarios[n].bad ? 0 : it.cases;
+            totals.goodCompleted += scenarios[n].bad ? 0 : it.completed;
+            totals.goodRolledBack += scenarios[n].bad ? 0 : it.rolledBack;
+            totals.bad += scenarios[n].bad ? it.cases : 0;
+            totals.badRolledBack += scenarios[n].bad ? it.rolledBack : 0;
+            totals.badOverOnePercent += scenarios[n].bad && it.worstBadShare > 0.01 ? 1 : 0;
         }
     }
-    std::printf("\ngood: %d of %d completed in time, %d wrongly taken back; bad: %d of %d taken back; rows of bad ones with a case above 1%% hurt: %d\n",
-        sum.goodCompleted, sum.good, sum.goodTakenBack, sum.badTakenBack, sum.bad, sum.badOverOnePercent);
+    std::printf("\ngood: %d of %d completed in time, %d wrongly rolled back; bad: %d of %d rolled back; rows of bad versions with a case above 1%% bad answers: %d\n",
+        totals.goodCompleted, totals.good, totals.goodRolledBack, totals.badRolledBack, totals.bad, totals.badOverOnePercent);
 }
 
 } // namespace
@@ -154,7 +155,7 @@
 int main(int argc, char** argv)
 {
     const int cases = argc > 1 ? std::atoi(argv[1]) : 5;
-    table(config::Weighing::SpeedAndTakeBack, cases);
-    table(config::Weighing::CompletionAndBytes, cases);
+    printTable(config::Weighing::SpeedAndTakeBack, cases);
+    printTable(config::Weighing::CompletionAndBytes, cases);
     return 0;
 }
--- a/bench/node_scale.cpp
+++ b/bench/node_scale.cpp
@@ -1,8 +1,8 @@
-// What a node holds and spends by the size of the mesh: memory, time to apply a version, bytes of a snapshot and of a
-// delta, time of one routing decision. The slopes are what docs/CAPACITY.md works with.
+// Measures the cost of a node by the size of the mesh: memory, time to apply a version, bytes of a snapshot and of a
+// delta, time of one routing decision. docs/CAPACITY.md uses the slopes of these figures.
 //
-// Prints one row of a table for each size given as SERVICES:ENDPOINTS; each size runs in its own process, so that memory
-// of one does not hide in another's (scripts/measure.d/scale starts them).
+// Prints one table row for a size given as SERVICES:ENDPOINTS. scripts/measure.d/scale runs each size in its own process,
+// because memory that one size has freed would hide the growth of the next.
 #include "appletally/appletally.h"
 
 #include <event2/event.h>
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr int routesPerService = 3;
-constexpr int zones = 7;
+constexpr int zoneCount = 7;
 
 int64_t residentKb()
 {
@@ -29,7 +29,7 @@
     return 0;
 }
 
-Snapshot snapshotOf(int services)
+Snapshot makeSnapshot(int services)
 {
     Answers answers;
     answers.name = "scale";
@@ -52,7 +52,7 @@
     return generate(answers);
 }
 
-std::vector<config::Endpoint> endpointsOf(int services, int endpoints)
+std::vector<config::Endpoint> makeEndpoints(int services, int endpoints)
 {
     std::vector<config::Endpoint> out;
     for (int n = 0; n < endpoints; ++n) {
@@ -60,7 +60,7 @@
         it.host = { "host-" + std::to_string(n) };
         it.service = { "service-" + std::to_string(n % services) };
         it.version = { "1.0" };
-        it.zone = { "zone-" + std::to_string(n % zones) };
+        it.zone = { "zone-" + std::to_string(n % zoneCount) };
         it.region = { "region-" + std::to_string(n % 2) };
         it.inner = { "10.0." + std::to_string(n / 250) + "." + std::to_string(n % 250), 7001 };
         it.slots = 10;
@@ -72,19 +72,19 @@
     return out;
 }
 
-double microsEach(int times, const std::function<void(int)>& what)
+double microsPerCall(int count, const std::function<void(int)>& operation)
 {
     const int64_t begin = base::steadyMicros();
-    for (int n = 0; n < times; ++n)
-        what(n);
-    return static_cast<double>(base::steadyMicros() - begin) / times;
+    for (int n = 0; n < count; ++n)
+        operation(n);
+    return static_cast<double>(base::steadyMicros() - begin) / count;
 }
 
 } // namespace
 
 int main(int argc, char** argv)
 {
-    TCLAP::CmdLine line("A node's memory and time by the size of the mesh.", ' ', APPLETALLY_VERSION);
+    TCLAP::CmdLine line("Measures a node's memory and time by the size of the mesh.", ' ', APPLETALLY_VERSION);
     TCLAP::UnlabeledValueArg<std::string> size("size", "SERVICES:ENDPOINTS", true, "", "SIZE", line);
     line.parse(argc, argv);
     const int services = std::stoi(size.getValue());
@@ -100,20 +100,20 @@
     node::Node it(loop, settings, fromControl, [](const inner::FromNode&) {});
     if (!it.listen())
         return 1;
-    const int64_t before = residentKb();
+    const int64_t emptyKb = residentKb();
 
-    auto snapshot = std::make_shared<Snapshot>(snapshotOf(services));
+    auto snapshot = std::make_shared<Snapshot>(makeSnapshot(services));
     snapshot->version = { 1 };
     const std::string bytes = encode(*snapshot);
-    const int64_t beganApply = base::steadyMicros();
+    const int64_t applyStart = base::steadyMicros();
     fromControl.send(inner::SnapshotReleased { snapshot });
     event_base_loop(loop, EVLOOP_NONBLOCK);
-    const int64_t apply = base::steadyMicros() - beganApply;
-    const int64_t beganEndpoints = base::steadyMicros();
-    fromControl.send(inner::EndpointsChanged { endpointsOf(services, endpoints) });
+    const int64_t applyMicros = base::steadyMicros() - applyStart;
+    const int64_t endpointsStart = base::steadyMicros();
+    fromControl.send(inner::EndpointsChanged { makeEndpoints(services, endpoints) });
     event_base_loop(loop, EVLOOP_NONBLOCK);
-    const int64_t setAll = base::steadyMicros() - beganEndpoints;
-    const int64_t after = residentKb();
+    const int64_t endpointsMicros = base::steadyMicros() - endpointsStart;
+    const int64_t fullKb = residentKb();
 
     Snapshot changed = *snapshot;
     changed.version = { 2 };
@@ -122,35 +122,35 @@
 
     Router router;
     router.zone = { "zone-0" };
-    std::vector<config::Endpoint> own;
-    for (const config::Endpoint& endpoint : endpointsOf(services, endpoints)) {
+    std::vector<config::Endpoint> serviceEndpoints;
+    for (const config::Endpoint& endpoint : makeEndpoints(services, endpoints)) {
         if (endpoint.service.text == "service-0")
-            own.push_back(endpoint);
+            serviceEndpoints.push_back(endpoint);
     }
-    policy::setEndpoints(router, own, { 0 });
-    const double pickMicros = microsEach(100000, [&](int n) {
+    policy::setEndpoints(router, serviceEndpoints, { 0 });
+    const double pickMicros = microsPerCall(100000, [&](int n) {
         const auto picked = pick(router, { { "r" }, {}, {} }, { n }, static_cast<uint64_t>(n) * 0x9e3779b97f4a7c15ULL);
         if (picked)
             answered(router, { picked->host, { "r" }, policy::AnswerKind::Good, { 5 }, {} }, { n });
     });
-    // The same for requests that say until when an answer is worth most, as upstreams' nodes tell their runs.
-    const double worthMicros = microsEach(100000, [&](int n) {
+    // The same for requests with a target latency, with answers that carry the run times reported by the upstream's node.
+    const double targetPickMicros = microsPerCall(100000, [&](int n) {
         const auto picked = pick(router, { { "w" }, {}, {}, true, base::Duration { 600 } }, { n }, static_cast<uint64_t>(n) * 0x9e3779b97f4a7c15ULL);
         if (picked)
             answered(router, { picked->host, { "w" }, policy::AnswerKind::Good, { 5 }, {}, { 5000 }, { 200 + n % 50 }, { 220 } }, { n });
     });
     policy::Admission admission;
     policy::setSlots(admission, 6, { 0 });
-    const double admitMicros = microsEach(100000, [&](int n) { // one waits behind six that run
+    const double admitMicros = microsPerCall(100000, [&](int n) { // one request queued behind six running ones
         const policy::RequestId id { static_cast<uint64_t>(n) + 1 };
         offer(admission, { id, { "c" }, { "r" }, config::Priority::Read, { 20 }, { n + 400 }, false, base::Time { n + 200 } }, { n });
         if (n >= 6)
             finished(admission, { id.value - 6 }, policy::RunEnd::Good, { 20 }, { n });
     });
     const RouteIndex index = buildRouteIndex(*snapshot);
-    const double matchMicros = microsEach(100000, [&](int n) { match(index, "", "GET", "/service-" + std::to_string(n % services) + "/part-1/7"); });
+    const double matchMicros = microsPerCall(100000, [&](int n) { match(index, "", "GET", "/service-" + std::to_string(n % services) + "/part-1/7"); });
 
-    std::cout << "| " << services << " | " << endpoints << " | " << before << " | " << after << " | " << apply << " | " << setAll << " | " << bytes.size()
-              << " | " << config::compress(bytes).size() << " | " << delta.size() << " | " << matchMicros << " | " << pickMicros << " | " << worthMicros << " | " << admitMicros << " |\n";
+    std::cout << "| " << services << " | " << endpoints << " | " << emptyKb << " | " << fullKb << " | " << applyMicros << " | " << endpointsMicros << " | " << bytes.size()
+              << " | " << config::compress(bytes).size() << " | " << delta.size() << " | " << matchMicros << " | " << pickMicros << " | " << targetPickMicros << " | " << admitMicros << " |\n";
     return 0;
 }
--- a/bench/overload.cpp
+++ b/bench/overload.cpp
@@ -1,8 +1,9 @@
-// Goodput inside the deadline at 1, 2, 5 and 10 times the capacity of a service, against plain choices, over the decision
-// modules and the load model of the tests. Simulated time: the figures don't depend on the machine.
+// Measures goodput (answers within the deadline) at 1, 2, 5 and 10 times the capacity of a service, with the decision
+// modules and with simple baseline strategies, over the load model of the tests. Time is simulated, so the figures do not
+// depend on the machine.
 //
-// All streams grow with the load, commands as well. Prints one table; with --least PERCENT ends with 1 where the modules
-// hold less of the capacity, or answer fewer than 99 of 100 commands in time.
+// All request streams grow with the load, commands included. Prints one table. With --least PERCENT the program exits
+// with 1 if the modules' goodput is below this share of the capacity, or if fewer than 99 of 100 commands are answered in time.
 #include "../tests/load_model.h"
 
 #include <cstdio>
@@ -12,17 +13,17 @@
 
 namespace {
 
-constexpr Duration runLength { 10'000 };
-constexpr int seeds = 3;
+constexpr Duration simulatedDuration { 10'000 };
+constexpr int seedCount = 3;
 
-struct Site {
+struct Service {
     const char* name;
     int upstreams;
     int slots;
     Duration roundTrip;
 };
 
-struct Variant {
+struct Strategy {
     const char* name;
     Queueing queueing;
     Choosing choosing;
@@ -30,50 +31,50 @@
     bool hedging;
 };
 
-constexpr Variant variants[] = {
+constexpr Strategy strategies[] = {
     { "appletally", Queueing::Admission, Choosing::Routing, Retrying::Budget, true },
     { "round robin, unbounded queue", Queueing::Fifo, Choosing::RoundRobin, Retrying::None, false },
-    { "same, given-up ones dropped", Queueing::FifoDropping, Choosing::RoundRobin, Retrying::None, false },
-    { "same, three tries", Queueing::FifoDropping, Choosing::RoundRobin, Retrying::Unbounded, false },
+    { "same, abandoned requests dropped", Queueing::FifoDropping, Choosing::RoundRobin, Retrying::None, false },
+    { "same, three attempts", Queueing::FifoDropping, Choosing::RoundRobin, Retrying::Unbounded, false },
 };
 
-// Each kind's share of the slot time at 1 times the capacity.
-struct Kind {
+// The request kinds, with their shares of the slot time at 1 times the capacity.
+struct RequestKind {
     const char* route;
     Priority priority;
     double share;
     double meanRun;
     Duration timeout;
 };
-constexpr Kind kinds[] = {
+constexpr RequestKind requestKinds[] = {
     { "plug", Priority::Command, 0.04, 20, Duration { 1000 } },
     { "tariff", Priority::Lookup, 0.06, 5, Duration { 500 } },
     { "berth", Priority::Read, 0.70, 20, Duration { 2000 } },
     { "archive", Priority::Archive, 0.20, 400, Duration { 20'000 } },
 };
 
-Model prepare(const Site& site, const Variant& variant, double load, uint64_t seed)
+Model makeModel(const Service& service, const Strategy& strategy, double load, uint64_t seed)
 {
     Model model;
     model.random.seed(seed);
-    model.queueing = variant.queueing;
-    model.choosing = variant.choosing;
-    model.retrying = variant.retrying;
-    model.hedging = variant.hedging;
-    model.roundTrip = site.roundTrip;
-    model.upstreams.resize(static_cast<size_t>(site.upstreams));
+    model.queueing = strategy.queueing;
+    model.choosing = strategy.choosing;
+    model.retrying = strategy.retrying;
+    model.hedging = strategy.hedging;
+    model.roundTrip = service.roundTrip;
+    model.upstreams.resize(static_cast<size_t>(service.upstreams));
     for (size_t n = 0; n < model.upstreams.size(); ++n) {
-        model.upstreams[n].slots = site.slots;
+        model.upstreams[n].slots = service.slots;
         model.upstreams[n].zone = static_cast<int>(n % 3);
     }
-    const double slotMs = site.upstreams * site.slots * 1000.0 * load;
-    for (const Kind& kind : kinds)
+    const double slotMs = service.upstreams * service.slots * 1000.0 * load;
+    for (const RequestKind& kind : requestKinds)
         for (int zone = 0; zone < 3; ++zone) {
             Stream stream { kind.route, kind.route, kind.priority, slotMs * kind.share / kind.meanRun / 3, kind.meanRun, kind.timeout };
             stream.zone = zone;
             stream.callers = 200;
-            const bool tries = variant.retrying == Retrying::Unbounded && kind.priority != Priority::Archive;
-            stream.tryTimeout = tries ? kind.timeout / 3 : Duration {};
+            const bool retries = strategy.retrying == Retrying::Unbounded && kind.priority != Priority::Archive;
+            stream.tryTimeout = retries ? kind.timeout / 3 : Duration {};
             model.streams.push_back(stream);
         }
     return model;
@@ -81,43 +82,43 @@
 
 struct Row {
     double goodput = 0; // slot time of answers in time, as a share of the capacity
-    double inTime[4] {}; // share of each kind answered in time
+    double inTime[4] {}; // share answered in time, by kind
     int offered[4] {};
-    int answered[4] {};
-    int all = 0;
+    int answeredInTime[4] {};
+    int offeredTotal = 0;
     int late = 0;
-    std::vector<int64_t> refusedAfter;
-    std::vector<int64_t> commandWaits;
-    std::vector<int64_t> readWaits;
+    std::vector<int64_t> rejectedAfterMs;
+    std::vector<int64_t> commandWaitsMs;
+    std::vector<int64_t> readWaitsMs;
 };
 
-void add(Row& row, const Model& model, const Site& site)
+void addResults(Row& row, const Model& model, const Service& service)
 {
-    double work = 0;
+    double usefulSlotMs = 0;
     for (size_t n = 0; n < model.tallies.size(); ++n) {
         const Tally& it = model.tallies[n];
         const size_t kind = n / 3;
-        work += it.inTime * (kinds[kind].meanRun + 0.5); // runs end on whole milliseconds
+        usefulSlotMs += it.inTime * (requestKinds[kind].meanRun + 0.5); // runs are rounded up to whole milliseconds, 0.5 ms on average
         row.offered[kind] += it.offered;
-        row.answered[kind] += it.inTime;
-        row.all += it.offered;
+        row.answeredInTime[kind] += it.inTime;
+        row.offeredTotal += it.offered;
         row.late += it.late;
-        row.refusedAfter.insert(row.refusedAfter.end(), it.refusedAfter.begin(), it.refusedAfter.end());
+        row.rejectedAfterMs.insert(row.rejectedAfterMs.end(), it.refusedAfter.begin(), it.refusedAfter.end());
         if (kind == 0)
-            row.commandWaits.insert(row.commandWaits.end(), it.waits.begin(), it.waits.end());
+            row.commandWaitsMs.insert(row.commandWaitsMs.end(), it.waits.begin(), it.waits.end());
         if (kind == 2)
-            row.readWaits.insert(row.readWaits.end(), it.waits.begin(), it.waits.end());
+            row.readWaitsMs.insert(row.readWaitsMs.end(), it.waits.begin(), it.waits.end());
     }
-    row.goodput += work / (site.upstreams * site.slots * static_cast<double>(runLength.ms)) / seeds;
+    row.goodput += usefulSlotMs / (service.upstreams * service.slots * static_cast<double>(simulatedDuration.ms)) / seedCount;
 }
 
-void print(const Site& site, const Variant& variant, double load, const Row& row)
+void printRow(const Service& service, const Strategy& strategy, double load, const Row& row)
 {
-    std::printf("| %s | %g | %s | %.1f |", site.name, load, variant.name, row.goodput * 100);
+    std::printf("| %s | %g | %s | %.1f |", service.name, load, strategy.name, row.goodput * 100);
     for (size_t kind = 0; kind < 4; ++kind)
-        std::printf(" %.1f |", row.offered[kind] ? 100.0 * row.answered[kind] / row.offered[kind] : 0);
-    std::printf(" %.1f | %ld | %ld | %ld |\n", 100.0 * row.late / row.all, static_cast<long>(quantile(row.commandWaits, 0.99)),
-        static_cast<long>(quantile(row.readWaits, 0.5)), static_cast<long>(quantile(row.refusedAfter, 0.99)));
+        std::printf(" %.1f |", row.offered[kind] ? 100.0 * row.answeredInTime[kind] / row.offered[kind] : 0);
+    std::printf(" %.1f | %ld | %ld | %ld |\n", 100.0 * row.late / row.offeredTotal, static_cast<long>(quantile(row.commandWaitsMs, 0.99)),
+        static_cast<long>(quantile(row.readWaitsMs, 0.5)), static_cast<long>(quantile(row.rejectedAfterMs, 0.99)));
     std::fflush(stdout);
 }
 
@@ -126,29 +127,29 @@
 int main(int argc, char** argv)
 {
     TCLAP::CmdLine line("Goodput under overload, over the decision modules");
-    TCLAP::ValueArg<double> least("", "least", "percent of the capacity that must be held", false, 0, "PERCENT", line);
-    TCLAP::SwitchArg own("", "own", "only the modules, without the plain choices", line);
+    TCLAP::ValueArg<double> minPercent("", "least", "minimum goodput of the modules, in percent of the capacity", false, 0, "PERCENT", line);
+    TCLAP::SwitchArg modulesOnly("", "own", "only the modules, without the baseline strategies", line);
     line.parse(argc, argv);
 
-    std::puts("| service | load | choice | goodput % | commands in time % | lookups % | reads % | archives % | late % | command wait p99 ms | read wait "
-              "p50 ms | refused after p99 ms |");
+    std::puts("| service | load | strategy | goodput % | commands in time % | lookups % | reads % | archives % | late % | command wait p99 ms | read wait "
+              "p50 ms | rejected after p99 ms |");
     std::puts("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    const Site sites[] = { { "plug control, 6 x 10", 6, 10, Duration { 3 } }, { "bake sheets, 3 x 6", 3, 6, Duration { 1 } } };
-    bool held = true;
-    for (const Site& site : sites)
+    const Service services[] = { { "plug control, 6 x 10", 6, 10, Duration { 3 } }, { "bake sheets, 3 x 6", 3, 6, Duration { 1 } } };
+    bool meetsMinimum = true;
+    for (const Service& service : services)
         for (const double load : { 1.0, 2.0, 5.0, 10.0 })
-            for (const Variant& variant : variants) {
-                if (own.getValue() && &variant != &variants[0])
+            for (const Strategy& strategy : strategies) {
+                if (modulesOnly.getValue() && &strategy != &strategies[0])
                     continue;
                 Row row;
-                for (uint64_t seed = 1; seed <= seeds; ++seed) {
-                    Model model = prepare(site, variant, load, seed);
-                    model.run(runLength);
-                    add(row, model, site);
+                for (uint64_t seed = 1; seed <= seedCount; ++seed) {
+                    Model model = makeModel(service, strategy, load, seed);
+                    model.run(simulatedDuration);
+                    addResults(row, model, service);
                 }
-                print(site, variant, load, row);
-                if (&variant == &variants[0])
-                    held = held && row.goodput * 100 >= least.getValue() && row.answered[0] >= 0.99 * row.offered[0];
+                printRow(service, strategy, load, row);
+                if (&strategy == &strategies[0])
+                    meetsMinimum = meetsMinimum && row.goodput * 100 >= minPercent.getValue() && row.answeredInTime[0] >= 0.99 * row.offered[0];
             }
-    return least.getValue() > 0 && !held ? 1 : 0;
+    return minPercent.getValue() > 0 && !meetsMinimum ? 1 : 0;
 }
--- a/tests/programs/standin_body.h
+++ b/tests/programs/standin_body.h
@@ -1,5 +1,5 @@
-// What a stand-in upstream answers and a stand-in caller checks: one line that names the request, then filler that
-// follows from the request's tag, so that a piece of another request's answer is noticed wherever it lands.
+// The response body that the stand-in upstream sends and the stand-in caller checks: one line with the request's tag and
+// the version, then filler bytes derived from the tag, so that a chunk of another request's response is detected at any position.
 #pragma once
 
 #include <cstdint>
@@ -12,17 +12,17 @@
 
 constexpr const char* tagHeader = "Request-Tag";
 constexpr const char* hashHeader = "Body-Hash"; // XXH3 of the whole body, hex
-constexpr size_t pieceBytes = 64 * 1024;
+constexpr size_t chunkBytes = 64 * 1024;
 
 inline std::string firstLine(const std::string& tag, const std::string& version) { return "tag " + tag + " version " + version + "\n"; }
 
-// Filler bytes from `at` on, at most a piece.
-inline std::string filler(std::string_view tag, uint64_t at, uint64_t total)
+// Returns the filler bytes from `offset` on, at most chunkBytes.
+inline std::string filler(std::string_view tag, uint64_t offset, uint64_t totalBytes)
 {
     const uint64_t shift = XXH3_64bits(tag.data(), tag.size()) % 251;
-    std::string out(std::min<uint64_t>(pieceBytes, total - at), '\0');
+    std::string out(std::min<uint64_t>(chunkBytes, totalBytes - offset), '\0');
     for (size_t n = 0; n < out.size(); ++n)
-        out[n] = static_cast<char>('a' + (at + n + shift) % 251 % 26);
+        out[n] = static_cast<char>('a' + (offset + n + shift) % 251 % 26);
     return out;
 }
 
@@ -48,8 +48,8 @@
 {
     Hash hash;
     hash.add(line);
-    for (uint64_t at = 0; at < fillerBytes; at += pieceBytes)
-        hash.add(filler(tag, at, fillerBytes));
+    for (uint64_t offset = 0; offset < fillerBytes; offset += chunkBytes)
+        hash.add(filler(tag, offset, fillerBytes));
     return hash.hex();
 }
 
--- a/tests/programs/standin_upstream.cpp
+++ b/tests/programs/standin_upstream.cpp
@@ -1,8 +1,8 @@
-// A stand-in for an upstream: announces itself to the node beside it, runs requests for a stated time, and records each
-// run with its idempotency key, so that whoever started it can count doubled runs.
+// Stand-in upstream for tests and the demo: announces itself to its node, runs each request for a configured time, and
+// records each run with its idempotency key, so that the test can count duplicate runs.
 //
-// Behaves as the platform's upstreams do: cold start, a limit of requests at once beyond which it sheds load before it
-// runs anything, failures at a stated rate, and a graceful end on SIGTERM.
+// Behaves as the platform's upstreams do: cold start, a limit on concurrent requests beyond which it sheds load before it
+// runs anything, failures at a configured rate, and graceful shutdown on SIGTERM.
 #include "appletally/base/json_reader.h"
 #include "standin_body.h"
 
@@ -22,16 +22,16 @@
 
 namespace {
 
-constexpr timeval announceEvery { 1, 0 };
-constexpr int64_t coldFactor = 5; // a cold run takes so many times as long
-constexpr base::Duration leastDraining { 2500 }; // callers' nodes need up to two seconds to hear of it
-constexpr base::Duration mostDraining { 30'000 };
+constexpr timeval announceInterval { 1, 0 };
+constexpr int64_t coldStartFactor = 5; // run time during the cold start, as a multiple of the usual one
+constexpr base::Duration minDraining { 2500 }; // callers' nodes receive the draining state within two seconds
+constexpr base::Duration maxDraining { 30'000 };
 
-// A value for each path prefix, the longest wins: "/plugs=40".
-struct ByPath {
+// Values by path prefix, such as "/plugs=40". The longest matching prefix applies.
+struct PathValues {
     std::vector<std::pair<std::string, int64_t>> entries;
 
-    int64_t of(const std::string& path, int64_t fallback) const
+    int64_t valueFor(const std::string& path, int64_t fallback) const
     {
         int64_t out = fallback;
         size_t longest = 0;
@@ -45,9 +45,9 @@
     }
 };
 
-ByPath parseByPath(const std::vector<std::string>& texts)
+PathValues parsePathValues(const std::vector<std::string>& texts)
 {
-    ByPath out;
+    PathValues out;
     for (const std::string& text : texts) {
         const size_t equals = text.rfind('=');
         if (equals == std::string::npos)
@@ -65,46 +65,46 @@
     std::string service;
     std::string version;
     int slots = 10;
-    ByPath runMs;
-    ByPath failPerMille;
-    base::Duration cold;
-    base::Duration starting;
-    int log = -1;
+    PathValues runMs;
+    PathValues failPerMille;
+    base::Duration coldStart;
+    base::Duration startingDuration;
+    int runLog = -1;
     event* ticker = nullptr;
-    base::Time began;
+    base::Time startTime;
     std::optional<base::Time> drainingSince;
     int running = 0;
     std::mt19937_64 random;
 };
 
-const char* stateOf(const Upstream& it)
+const char* stateName(const Upstream& it)
 {
     if (it.drainingSince)
         return "draining";
-    return base::steadyNow() - it.began < it.starting ? "starting" : "ready";
+    return base::steadyNow() - it.startTime < it.startingDuration ? "starting" : "ready";
 }
 
-void announceNow(Upstream& it)
+void sendAnnouncement(Upstream& it)
 {
     evhttp_connection* connection = evhttp_connection_base_new(it.loop, nullptr, it.announce.ip.c_str(), it.announce.port);
     evhttp_connection_set_timeout(connection, 2);
     evhttp_connection_free_on_completion(connection);
     evhttp_request* request = evhttp_request_new([](evhttp_request*, void*) {}, nullptr);
-    const base::Json body = { { "service", it.service }, { "version", it.version }, { "address", it.listen.text() }, { "slots", it.slots }, { "state", stateOf(it) } };
+    const base::Json body = { { "service", it.service }, { "version", it.version }, { "address", it.listen.text() }, { "slots", it.slots }, { "state", stateName(it) } };
     evhttp_add_header(evhttp_request_get_output_headers(request), "Host", "node");
     evbuffer_add_printf(evhttp_request_get_output_buffer(request), "%s", body.dump().c_str());
     evhttp_make_request(connection, request, EVHTTP_REQ_POST, "/announce");
 }
 
-// One run under way. Freed when its answer is sent or its connection has closed.
+// A run in progress. Freed when its response is sent, or at the end of the run if its connection has closed.
 struct Run {
     Upstream* upstream = nullptr;
     evhttp_request* request = nullptr;
-    bool closed = false; // the connection has closed; the request is ours to free
+    bool connectionClosed = false; // the request must then be freed here
     event* timer = nullptr;
     std::string tag;
     uint64_t fillerBytes = 0;
-    uint64_t sent = 0;
+    uint64_t sentBytes = 0;
     bool fails = false;
 };
 
@@ -114,48 +114,48 @@
     return it ? it : "";
 }
 
-void record(Upstream& it, evhttp_request* request, const char* path)
+void recordRun(Upstream& it, evhttp_request* request, const char* path)
 {
-    if (it.log < 0)
+    if (it.runLog < 0)
         return;
     const std::string key = header(request, "Idempotency-Key");
     const std::string line = "run " + (key.empty() ? "-" : key) + " " + path + " " + it.version + "\n";
-    if (write(it.log, line.data(), line.size()) != static_cast<ssize_t>(line.size()))
-        std::cerr << "cannot record a run\n";
+    if (write(it.runLog, line.data(), line.size()) != static_cast<ssize_t>(line.size()))
+        std::cerr << "cannot write to the run log\n";
 }
 
-void finish(Run* run)
+void finishRun(Run* run)
 {
     --run->upstream->running;
     event_free(run->timer);
-    if (run->closed)
+    if (run->connectionClosed)
         evhttp_request_free(run->request);
     else
         evhttp_connection_set_closecb(evhttp_request_get_connection(run->request), nullptr, nullptr);
     delete run;
 }
 
-void sendPiece(evhttp_connection*, void* arg)
+void sendChunk(evhttp_connection*, void* arg)
 {
     auto* run = static_cast<Run*>(arg);
-    if (run->sent == run->fillerBytes) {
+    if (run->sentBytes == run->fillerBytes) {
         evhttp_request* request = run->request;
-        finish(run);
+        finishRun(run);
         return evhttp_send_reply_end(request);
     }
-    const std::string piece = standin::filler(run->tag, run->sent, run->fillerBytes);
-    run->sent += piece.size();
+    const std::string chunk = standin::filler(run->tag, run->sentBytes, run->fillerBytes);
+    run->sentBytes += chunk.size();
     evbuffer* buf = evbuffer_new();
-    evbuffer_add(buf, piece.data(), piece.size());
-    evhttp_send_reply_chunk_with_cb(run->request, buf, sendPiece, run);
+    evbuffer_add(buf, chunk.data(), chunk.size());
+    evhttp_send_reply_chunk_with_cb(run->request, buf, sendChunk, run);
     evbuffer_free(buf);
 }
 
-void answer(Run* run)
+void sendResponse(Run* run)
 {
     evhttp_request* request = run->request;
     if (run->fails) {
-        finish(run);
+        finishRun(run);
         return evhttp_send_reply(request, 500, "Failed as told", nullptr);
     }
     const std::string line = standin::firstLine(run->tag, run->upstream->version);
@@ -165,31 +165,31 @@
     evhttp_send_reply_start(request, 200, "OK");
     evbuffer* buf = evbuffer_new();
     evbuffer_add(buf, line.data(), line.size());
-    evhttp_send_reply_chunk_with_cb(request, buf, sendPiece, run);
+    evhttp_send_reply_chunk_with_cb(request, buf, sendChunk, run);
     evbuffer_free(buf);
 }
 
 void onRunDone(evutil_socket_t, short, void* arg)
 {
     auto* run = static_cast<Run*>(arg);
-    if (run->closed)
-        finish(run);
+    if (run->connectionClosed)
+        finishRun(run);
     else
-        answer(run);
+        sendResponse(run);
 }
 
-// The run goes on to its end, as real work would; only its answer has nowhere to go.
+// The run continues to its end, as real work would. Only its response is dropped.
 void onClosed(evhttp_connection*, void* arg)
 {
     auto* run = static_cast<Run*>(arg);
-    run->closed = true;
-    if (!evtimer_pending(run->timer, nullptr)) { // its answer was on the way
+    run->connectionClosed = true;
+    if (!evtimer_pending(run->timer, nullptr)) { // the response was being sent
         const timeval now {};
         evtimer_add(run->timer, &now);
     }
 }
 
-uint64_t bytesAsked(const evhttp_uri* uri)
+uint64_t requestedBytes(const evhttp_uri* uri)
 {
     const char* query = evhttp_uri_get_query(uri);
     evkeyvalq fields {};
@@ -214,14 +214,14 @@
     run->upstream = &it;
     run->request = request;
     run->tag = header(request, standin::tagHeader);
-    run->fillerBytes = bytesAsked(uri);
-    run->fails = static_cast<int64_t>(it.random() % 1000) < it.failPerMille.of(path, 0);
+    run->fillerBytes = requestedBytes(uri);
+    run->fails = static_cast<int64_t>(it.random() % 1000) < it.failPerMille.valueFor(path, 0);
     run->timer = evtimer_new(it.loop, onRunDone, run);
     ++it.running;
-    record(it, request, path.c_str());
+    recordRun(it, request, path.c_str());
     evhttp_connection_set_closecb(evhttp_request_get_connection(request), onClosed, run);
-    const bool cold = base::steadyNow() - it.began < it.cold;
-    const int64_t ms = it.runMs.of(path, 5) * (cold ? coldFactor : 1);
+    const bool cold = base::steadyNow() - it.startTime < it.coldStart;
+    const int64_t ms = it.runMs.valueFor(path, 5) * (cold ? coldStartFactor : 1);
     const timeval delay { ms / 1000, ms % 1000 * 1000 };
     evtimer_add(run->timer, &delay);
 }
@@ -229,23 +229,23 @@
 void onTick(evutil_socket_t, short, void* arg)
 {
     auto& it = *static_cast<Upstream*>(arg);
-    announceNow(it);
+    sendAnnouncement(it);
     if (!it.drainingSince)
         return;
     const base::Duration since = base::steadyNow() - *it.drainingSince;
-    if ((since >= leastDraining && it.running == 0) || since >= mostDraining)
+    if ((since >= minDraining && it.running == 0) || since >= maxDraining)
         event_base_loopbreak(it.loop);
 }
 
-void onStop(evutil_socket_t, short, void* arg)
+void onTerminate(evutil_socket_t, short, void* arg)
 {
     auto& it = *static_cast<Upstream*>(arg);
     if (!it.drainingSince)
         it.drainingSince = base::steadyNow();
-    announceNow(it);
+    sendAnnouncement(it);
 }
 
-base::Address addressOf(const std::string& text)
+base::Address parseAddressArgument(const std::string& text)
 {
     const auto out = base::parseAddress(text);
     if (!out)
@@ -255,31 +255,31 @@
 
 void readArguments(int argc, char** argv, Upstream& it)
 {
-    TCLAP::CmdLine line("Stands in for an upstream beside a node.", ' ', APPLETALLY_VERSION);
-    TCLAP::ValueArg<std::string> listen("", "listen", "own HTTP", true, "", "IP:PORT", line);
+    TCLAP::CmdLine line("Stand-in for an upstream beside a node.", ' ', APPLETALLY_VERSION);
+    TCLAP::ValueArg<std::string> listen("", "listen", "own HTTP address", true, "", "IP:PORT", line);
     TCLAP::ValueArg<std::string> announce("", "announce", "the node's announce address", true, "", "IP:PORT", line);
     TCLAP::ValueArg<std::string> service("", "service", "service", true, "", "NAME", line);
     TCLAP::ValueArg<std::string> version("", "software", "software version", false, "1.0", "NAME", line);
-    TCLAP::ValueArg<int> slots("", "slots", "requests at once", false, 10, "N", line);
-    TCLAP::MultiArg<std::string> run("", "run", "run time in milliseconds, 5 where not given", false, "PATH=MS", line);
+    TCLAP::ValueArg<int> slots("", "slots", "concurrent requests, at most", false, 10, "N", line);
+    TCLAP::MultiArg<std::string> run("", "run", "run time in milliseconds, default 5", false, "PATH=MS", line);
     TCLAP::MultiArg<std::string> fail("", "fail", "failures per thousand", false, "PATH=N", line);
-    TCLAP::ValueArg<int64_t> cold("", "cold-ms", "runs take five times as long at first", false, 0, "MS", line);
-    TCLAP::ValueArg<int64_t> starting("", "starting-ms", "announces itself as starting at first", false, 0, "MS", line);
-    TCLAP::ValueArg<std::string> log("", "log", "records each run", false, "", "FILE", line);
-    TCLAP::ValueArg<uint64_t> seed("", "seed", "of the failures", false, 1, "N", line);
+    TCLAP::ValueArg<int64_t> cold("", "cold-ms", "cold start, in which runs take five times as long", false, 0, "MS", line);
+    TCLAP::ValueArg<int64_t> starting("", "starting-ms", "time in which it announces itself as starting", false, 0, "MS", line);
+    TCLAP::ValueArg<std::string> log("", "log", "file that records each run", false, "", "FILE", line);
+    TCLAP::ValueArg<uint64_t> seed("", "seed", "seed of the failures", false, 1, "N", line);
     line.parse(argc, argv);
-    it.listen = addressOf(listen.getValue());
-    it.announce = addressOf(announce.getValue());
+    it.listen = parseAddressArgument(listen.getValue());
+    it.announce = parseAddressArgument(announce.getValue());
     it.service = service.getValue();
     it.version = version.getValue();
     it.slots = slots.getValue();
-    it.runMs = parseByPath(run.getValue());
-    it.failPerMille = parseByPath(fail.getValue());
-    it.cold = { cold.getValue() };
-    it.starting = { starting.getValue() };
+    it.runMs = parsePathValues(run.getValue());
+    it.failPerMille = parsePathValues(fail.getValue());
+    it.coldStart = { cold.getValue() };
+    it.startingDuration = { starting.getValue() };
     it.random.seed(seed.getValue());
     if (!log.getValue().empty())
-        it.log = open(log.getValue().c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
+        it.runLog = open(log.getValue().c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
 }
 
 } // namespace
@@ -295,12 +295,12 @@
         std::cerr << "cannot listen on " << it.listen.text() << "\n";
         return base::exitCode(base::Code::AddressInUse);
     }
-    it.began = base::steadyNow();
-    event* stop = evsignal_new(it.loop, SIGTERM, onStop, &it);
+    it.startTime = base::steadyNow();
+    event* stop = evsignal_new(it.loop, SIGTERM, onTerminate, &it);
     event_add(stop, nullptr);
     it.ticker = event_new(it.loop, -1, EV_PERSIST, onTick, &it);
-    event_add(it.ticker, &announceEvery);
-    announceNow(it);
+    event_add(it.ticker, &announceInterval);
+    sendAnnouncement(it);
     event_base_dispatch(it.loop);
     return 0;
 }
