--- a/scripts/lib/demo.py
+++ b/scripts/lib/demo.py
@@ -1,6 +1,6 @@
-"""The demo behind scripts/demo: 3 voters, a relay, 6 nodes with stand-in upstreams, and callers of every kind.
+"""Implements scripts/demo: 3 voters, a relay, 6 nodes with stand-in upstreams, and callers of every kind.
 
-While callers go on, one good version is rolled out, one upstream is drained and one bad version is taken back.
+While callers send requests, a good version is rolled out, an upstream is drained and a bad version is rolled back.
 """
 import collections
 import json
@@ -14,12 +14,12 @@
 from mesh import Mesh, address, free_ports  # noqa: E402
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
-RATE = 120  # requests a second over all kinds: enough evidence for a rollout within seconds, and little load
-GOOD_SECONDS = 20  # until the good version has all traffic
-BAD_SECONDS = 40
+REQUESTS_PER_SECOND = 120  # over all kinds: gives enough evidence for a rollout within seconds at little load
+GOOD_ROLLOUT_SECONDS = 20  # until the good version has all traffic
+BAD_ROLLOUT_SECONDS = 40
 
-# Every kind of request that the two deployments name: method, path, caller, weight, timeout in milliseconds.
-MIX = [
+# Every kind of request in the two deployments: method, path, caller, weight, timeout in milliseconds.
+REQUEST_MIX = [
     "POST,/plugs/connect/{n},crew,3,3000",
     "POST,/plugs/disconnect/{n},crew,3,3000",
     "GET,/plugs/{n},crew,6,2000",
@@ -36,60 +36,61 @@
 ]
 RUN_TIMES = ["/plugs=10", "/plugs/connect=30", "/plugs/disconnect=30", "/berths=8", "/meters=15", "/tariffs=2", "/archive=50",
              "/members=8", "/pauses=20", "/donations=40", "/bake-sheets=40", "/route-lists=10", "/internal=10"]
-PLACES = {"n0": "plug-control", "n1": "plug-control", "n2": "berth-data", "n3": "subscription", "n4": "bake-sheets"}
+SERVICE_BY_NODE = {"n0": "plug-control", "n1": "plug-control", "n2": "berth-data", "n3": "subscription", "n4": "bake-sheets"}
 
 
-def say(text):
-    print("%5.1f s  %s" % (time.monotonic() - BEGAN, text), flush=True)
+def log_progress(text):
+    print("%5.1f s  %s" % (time.monotonic() - START_TIME, text), flush=True)
 
 
 class Demo:
     def __init__(self, mesh):
         self.mesh = mesh
-        self.logs = {}  # upstream to the file that records its runs
+        self.logs = {}  # by upstream: the file that records its runs
 
-    def upstream(self, name, node, service, version, *more):
+    def start_upstream(self, name, node, service, version, *options):
         log = self.logs[name] = os.path.join(self.mesh.folder, name + ".runs")
         command = [self.mesh.program("standin-upstream"), "--listen", address(free_ports(1)[0]), "--announce",
-                   address(self.mesh.nodes[node]["announce"]), "--service", service, "--software", version, "--log", log, *more]
+                   address(self.mesh.nodes[node]["announce"]), "--service", service, "--software", version, "--log", log, *options]
         for it in RUN_TIMES:
             command += ["--run", it]
         self.mesh.start(name, command)
 
-    def callers(self):
-        command = [self.mesh.program("standin-caller"), "--rate", str(RATE), "--count", "1000000", "--name", "demo",
+    def start_callers(self):
+        command = [self.mesh.program("standin-caller"), "--rate", str(REQUESTS_PER_SECOND), "--count", "1000000", "--name", "demo",
                    "--keys", os.path.join(self.mesh.folder, "keys")]
         for ports in self.mesh.nodes.values():
             command += ["--to", address(ports["callers"])]
-        for it in MIX:
+        for it in REQUEST_MIX:
             command += ["--mix", it]
         return subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
 
-    def answered_everywhere(self):
-        """Reads from each service, and a keyed request: that needs the keepers of claims, which come after the routes."""
+    def all_nodes_answer(self):
+        """Whether every node answers reads of each service and a keyed request. The latter needs the keepers of claims, which nodes
+        receive after the routes."""
         reads = [("/plugs/1", "crew"), ("/berths/1", "ship-agent"), ("/members/1", "member"), ("/route-lists/1", "driver")]
         for host in self.mesh.nodes:
             for path, caller in reads:
-                if self.mesh.ask(host, path, headers={"Appletally-Caller": caller})[0] != 200:
+                if self.mesh.request(host, path, headers={"Appletally-Caller": caller})[0] != 200:
                     return False
             headers = {"Appletally-Caller": "member", "Idempotency-Key": "first-" + host}
-            if self.mesh.ask(host, "/pauses/1", "POST", headers, b"pause")[0] != 200:
+            if self.mesh.request(host, "/pauses/1", "POST", headers, b"pause")[0] != 200:
                 return False
         return True
 
-    def rollout(self, service, version, seconds):
+    def start_rollout(self, service, version, seconds):
         self.mesh.ctl("rollout", "start", service, version, str(seconds))
 
-    def ended(self, service, version):
-        """How the rollout ended, or None while it runs."""
+    def ended_rollout(self, service, version):
+        """The rollout once it has ended, or None while it runs."""
         for it in json.loads(self.mesh.ctl("rollouts", "--json")):
             if (it["rollout"]["service"], it["rollout"]["to"]) == (service, version) and it["state"] != "running":
                 return it
         return None
 
-    def wait_ended(self, service, version, seconds):
-        self.mesh.wait("end of the rollout of %s %s" % (service, version), lambda: self.ended(service, version), seconds)
-        return self.ended(service, version)
+    def wait_rollout_end(self, service, version, seconds):
+        self.mesh.wait("end of the rollout of %s %s" % (service, version), lambda: self.ended_rollout(service, version), seconds)
+        return self.ended_rollout(service, version)
 
 
 def run_counts(logs):
@@ -103,17 +104,17 @@
     return runs
 
 
-def judge_keys(folder, logs):
-    """Keyed requests that ran twice, and those that ran although the caller was told that they had not, or the reverse."""
+def check_keyed_requests(folder, logs):
+    """Keyed requests that ran twice, and those whose outcome at the caller contradicts the run logs."""
     runs = run_counts(logs)
     doubled = [key for key, n in runs.items() if n > 1]
-    untrue = []
+    contradicted = []
     with open(os.path.join(folder, "keys")) as keys:
         for line in keys:
             key, end = line.split()
             if (end == "refused" and runs[key] != 0) or (end in ("whole", "failed") and runs[key] == 0):
-                untrue.append(key)
-    return doubled, untrue
+                contradicted.append(key)
+    return doubled, contradicted
 
 
 def print_table(rows):
@@ -125,37 +126,37 @@
     results = collections.Counter()
     for row in rows:
         results.update(row["results"])
-    print("answers that were not whole, resent ones included: " + (", ".join("%d %s" % (n, name) for name, n in sorted(results.items())) or "none"))
+    print("responses that were not whole, including those followed by a resend: " + (", ".join("%d %s" % (n, name) for name, n in sorted(results.items())) or "none"))
     return {it: sum(row[it] for row in rows) for it in columns}
 
 
-def play(demo):
+def run_demo(demo):
     mesh = demo.mesh
-    say("3 voters, 1 relay, 6 nodes")
+    log_progress("3 voters, 1 relay, 6 nodes")
     mesh.start_control()
     mesh.start_nodes()
-    for n, (node, service) in enumerate(PLACES.items()):
-        demo.upstream("u%d" % n, node, service, "1.0")
+    for n, (node, service) in enumerate(SERVICE_BY_NODE.items()):
+        demo.start_upstream("u%d" % n, node, service, "1.0")
     for name in ("berthgrid", "hlyab"):
         mesh.wait("a leader", lambda name=name: "error" not in mesh.ctl("submit", os.path.join(ROOT, "examples", name + ".json"), check=False).lower(), 20)
-        say("submitted the answers of " + name)
-    mesh.wait("answers from every node", demo.answered_everywhere, 30)
-    say("every node answers; callers begin")
-    callers = demo.callers()
+        log_progress("submitted the answers of " + name)
+    mesh.wait("answers from every node", demo.all_nodes_answer, 30)
+    log_progress("every node answers; starting callers")
+    callers = demo.start_callers()
     try:
         time.sleep(2)
-        demo.upstream("u5", "n5", "plug-control", "2.0", "--cold-ms", "1000")
-        demo.rollout("plug-control", "2.0", GOOD_SECONDS)
-        say("rollout of plug-control 2.0 (good) started, to be complete within %d s" % GOOD_SECONDS)
-        good = demo.wait_ended("plug-control", "2.0", GOOD_SECONDS + 5)
-        say("%s: %s" % (good["state"], good["why"]))
-        status = mesh.stop_one("u1")
-        say("upstream beside n1 drained and left with status %d" % status)
-        demo.upstream("bad", "n1", "plug-control", "2.1", "--fail", "/plugs=300")
-        demo.rollout("plug-control", "2.1", BAD_SECONDS)
-        say("rollout of plug-control 2.1 (fails 3 in 10) started")
-        bad = demo.wait_ended("plug-control", "2.1", BAD_SECONDS)
-        say("%s: %s" % (bad["state"], bad["why"]))
+        demo.start_upstream("u5", "n5", "plug-control", "2.0", "--cold-ms", "1000")
+        demo.start_rollout("plug-control", "2.0", GOOD_ROLLOUT_SECONDS)
+        log_progress("rollout of plug-control 2.0 (good) started, to complete within %d s" % GOOD_ROLLOUT_SECONDS)
+        good = demo.wait_rollout_end("plug-control", "2.0", GOOD_ROLLOUT_SECONDS + 5)
+        log_progress("%s: %s" % (good["state"], good["why"]))
+        status = mesh.stop_process("u1")
+        log_progress("upstream beside n1 drained and exited with status %d" % status)
+        demo.start_upstream("bad", "n1", "plug-control", "2.1", "--fail", "/plugs=300")
+        demo.start_rollout("plug-control", "2.1", BAD_ROLLOUT_SECONDS)
+        log_progress("rollout of plug-control 2.1 (fails 3 in 10) started")
+        bad = demo.wait_rollout_end("plug-control", "2.1", BAD_ROLLOUT_SECONDS)
+        log_progress("%s: %s" % (bad["state"], bad["why"]))
         time.sleep(1)
     finally:
         callers.terminate()
@@ -164,22 +165,22 @@
     return json.loads(out), good, bad
 
 
-def verdict(demo, rows, good, bad):
+def check_results(demo, rows, good, bad):
     totals = print_table(rows)
-    doubled, untrue = judge_keys(demo.mesh.folder, demo.logs)
+    doubled, contradicted = check_keyed_requests(demo.mesh.folder, demo.logs)
     lost = totals["unknown"] + totals["cut"] + totals["refused"]
-    print("\n%d requests: %d lost (refused after all resends, unknown or cut), %d wrong, %d keyed requests doubled, %d told untruly; %d failed at the bad version"
-          % (totals["sent"], lost, totals["wrong"], len(doubled), len(untrue), totals["failed"]))
-    as_planned = good["state"] == "completed" and bad["state"] == "taken back"
-    if not as_planned:
-        print("the rollouts did not end as planned")
-    return not (lost or totals["wrong"] or doubled or untrue) and as_planned
+    print("\n%d requests: %d lost (refused after all resends, unknown or cut), %d wrong, %d keyed requests run twice, %d keyed requests with an incorrect outcome; %d failed at the bad version"
+          % (totals["sent"], lost, totals["wrong"], len(doubled), len(contradicted), totals["failed"]))
+    as_expected = good["state"] == "completed" and bad["state"] == "taken back"
+    if not as_expected:
+        print("the rollouts did not end as expected")
+    return not (lost or totals["wrong"] or doubled or contradicted) and as_expected
 
 
-BEGAN = time.monotonic()
-signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))  # leaves by the way that stops what was started
+START_TIME = time.monotonic()
+signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))  # exits through Mesh.__exit__, which stops the processes
 with Mesh(os.path.join(ROOT, os.environ.get("BUILD", "build")), voters=3, relays=1, nodes=6) as the_mesh:
     the_demo = Demo(the_mesh)
-    good_end = verdict(the_demo, *play(the_demo))
-    say("done")
-sys.exit(0 if good_end else 1)
+    passed = check_results(the_demo, *run_demo(the_demo))
+    log_progress("done")
+sys.exit(0 if passed else 1)
--- a/scripts/lib/mesh.py
+++ b/scripts/lib/mesh.py
@@ -1,6 +1,6 @@
-"""Starts a small mesh on loopback for the demo and the measurements, and stops what it started.
+"""Starts a small mesh on loopback for the demo and the measurements, and stops its processes.
 
-Every process is ended by its own id; ports are taken from the system and given back just before they are used.
+Each process is stopped by its own process id. Free ports are reserved from the system and released just before use.
 """
 import json
 import os
@@ -12,16 +12,16 @@
 import time
 import urllib.request
 
-KEY = "5a" * 32  # of a mesh that lives for a minute on loopback; a real one draws its own
+KEY = "5a" * 32  # fixed, as the mesh runs on loopback for about a minute; a real mesh has a random key
 
 
 def free_ports(count):
-    """Ports that nobody listens on now; all are held until the last is known, so that none comes twice."""
-    held = [socket.socket() for _ in range(count)]
-    for it in held:
+    """Ports that are free now. All sockets stay open until the last port is known, so that no port is returned twice."""
+    sockets = [socket.socket() for _ in range(count)]
+    for it in sockets:
         it.bind(("127.0.0.1", 0))
-    ports = [it.getsockname()[1] for it in held]
-    for it in held:
+    ports = [it.getsockname()[1] for it in sockets]
+    for it in sockets:
         it.close()
     return ports
 
@@ -35,7 +35,7 @@
         self.build = build
         self.folder = tempfile.mkdtemp(prefix="appletally-")
         self.processes = {}  # by name
-        self.nodes = {}  # host to ports: callers, inner, announce, operators
+        self.nodes = {}  # by host: its callers, inner, announce and operators ports
         ports = iter(free_ports(voters + relays + 4 * nodes))
         self.voters = {"v%d" % n: next(ports) for n in range(voters)}
         self.relays = {"r%d" % n: next(ports) for n in range(relays)}
@@ -70,9 +70,9 @@
                                "listen": {it: address(port) for it, port in ports.items()}, "voters": voters, "sources": relays or voters})
         self._write("ctl", {"cluster": "demo", "key": KEY, "operator": "demo", "voters": voters})
 
-    def start(self, name, arguments):
+    def start(self, name, command):
         log = open(self._path(name + ".log"), "ab")
-        self.processes[name] = subprocess.Popen(arguments, stdout=log, stderr=log, stdin=subprocess.DEVNULL)
+        self.processes[name] = subprocess.Popen(command, stdout=log, stderr=log, stdin=subprocess.DEVNULL)
         return self.processes[name]
 
     def program(self, name):
@@ -89,34 +89,34 @@
         for host in self.nodes:
             self.start(host, [self.program("appletally-node"), self._path(host + ".json")])
 
-    def ctl(self, *words, check=True):
-        done = subprocess.run([self.program("appletallyctl"), self._path("ctl.json"), *words], stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
-        if check and done.returncode != 0:
-            raise RuntimeError("appletallyctl %s: %s" % (" ".join(words), done.stdout))
-        return done.stdout
+    def ctl(self, *arguments, check=True):
+        result = subprocess.run([self.program("appletallyctl"), self._path("ctl.json"), *arguments], stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
+        if check and result.returncode != 0:
+            raise RuntimeError("appletallyctl %s: %s" % (" ".join(arguments), result.stdout))
+        return result.stdout
 
-    def ask(self, host, path, method="GET", headers=None, body=None, timeout=5):
-        """Status, headers and body of one request through a node; status 0 where none came."""
+    def request(self, host, path, method="GET", headers=None, body=None, timeout=5):
+        """Status, headers and body of the response to one request through a node. Status 0 if there was no response."""
         url = "http://127.0.0.1:%d%s" % (self.nodes[host]["callers"], path)
-        request = urllib.request.Request(url, data=body, method=method, headers=headers or {})
+        http_request = urllib.request.Request(url, data=body, method=method, headers=headers or {})
         try:
-            with urllib.request.urlopen(request, timeout=timeout) as answer:
-                return answer.status, dict(answer.headers), answer.read()
+            with urllib.request.urlopen(http_request, timeout=timeout) as response:
+                return response.status, dict(response.headers), response.read()
         except urllib.error.HTTPError as error:
             return error.code, dict(error.headers), error.read()
         except OSError:
             return 0, {}, b""
 
     def wait(self, what, condition, seconds=20):
-        """Polls until the condition holds; a mesh that does not get there in time is a failure."""
+        """Polls until the condition holds. Raises RuntimeError if it does not hold in time."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             if condition():
                 return
             time.sleep(0.05)
-        raise RuntimeError("not within %d s: %s\n%s" % (seconds, what, self.last_lines()))
+        raise RuntimeError("timed out after %d s waiting for: %s\n%s" % (seconds, what, self.last_log_lines()))
 
-    def last_lines(self):
+    def last_log_lines(self):
         out = []
         for name in sorted(self.processes):
             with open(self._path(name + ".log"), errors="replace") as log:
@@ -132,9 +132,9 @@
             fields = stat.read().rsplit(")", 1)[1].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
-    def stop_one(self, name, how=signal.SIGTERM, seconds=40):
+    def stop_process(self, name, signal_number=signal.SIGTERM, seconds=40):
         process = self.processes.pop(name)
-        process.send_signal(how)
+        process.send_signal(signal_number)
         process.wait(seconds)
         return process.returncode
 
