--- a/src/appletally/base/events.h
+++ b/src/appletally/base/events.h
@@ -13,9 +13,9 @@
     Stopping = 102,
     Stopped = 103,
     SettingsRefused = 104,
-    StopBoundReached = 105,
+    GracefulShutdownTimedOut = 105,
     SettingsReloaded = 106,
-    LogLinesLeftOut = 107,
+    LogLinesDropped = 107,
 
     // 2xx: configuration
     VersionApplied = 201,
@@ -24,18 +24,18 @@
     VersionReleased = 204,
     BootVersionProven = 205,
     SubmitRefused = 206,
-    AnsweredBeforeAll = 207,
+    AcknowledgedBeforeAll = 207,
 
     // 3xx: replicated log
     BecameLeader = 301,
     LostLeadership = 302,
     DiskStopped = 303,
-    LogTailCut = 304,
+    LogTailTruncated = 304,
     LogFileDamaged = 305,
     ReplicaAdded = 306,
     ReplicaRemoved = 307,
     SnapshotTaken = 308,
-    DiskOpenedAgain = 309,
+    DiskReopened = 309,
 
     // 4xx: endpoints and links
     UpstreamAnnounced = 401,
@@ -45,7 +45,7 @@
     LinkRefused = 405,
     ControlLost = 406,
     ControlFound = 407,
-    SourceTaken = 408,
+    SourceSelected = 408,
 
     // 5xx: requests
     BadRequest = 501,
@@ -55,7 +55,7 @@
     RequestSent = 511,
     RequestAnswered = 512,
     RequestRefused = 513,
-    RequestTriedAgain = 514,
+    RequestRetried = 514,
     RequestCancelled = 515,
     CallQueued = 521,
     CallRefused = 522,
@@ -67,9 +67,9 @@
     RolloutStarted = 601,
     RolloutShareRaised = 602,
     RolloutCompleted = 603,
-    RolloutTakenBack = 604,
+    RolloutRolledBack = 604,
     RolloutStopped = 605,
-    VersionStoppedHere = 606,
+    VersionStoppedLocally = 606,
     RolloutHeld = 607,
 
     // 7xx: claims
--- a/src/appletally/base/log.cpp
+++ b/src/appletally/base/log.cpp
@@ -80,15 +80,15 @@
             BOOST_LOG(state().logger) << line;
     }
 
-    void tellLeftOut()
+    void reportDropped()
     {
-        const auto leftOut = takeLeftOut(state().budget, steadyNow());
-        if (leftOut.empty())
+        const auto dropped = takeDropped(state().budget, steadyNow());
+        if (dropped.empty())
             return;
-        Line line = head(info(Event::LogLinesLeftOut));
-        for (const auto& [event, n] : leftOut)
+        Line line = head(info(Event::LogLinesDropped));
+        for (const auto& [event, n] : dropped)
             line[std::string(info(event).name)] = n;
-        write(info(Event::LogLinesLeftOut), textOf(line));
+        write(info(Event::LogLinesDropped), textOf(line));
     }
 
 } // namespace
@@ -124,7 +124,7 @@
     std::lock_guard lock(state().mutex);
     if (!state().started || entry.severity < static_cast<int>(state().least))
         return;
-    tellLeftOut();
+    reportDropped();
     if (!mayWrite(state().budget, event, steadyNow()))
         return;
     Line line = head(entry);
@@ -154,18 +154,18 @@
     const bool failure = info(event).severity > 0;
     int& written = failure ? it.failures : it.others;
     if (written >= (failure ? it.failuresPerSecond : it.othersPerSecond)) {
-        ++it.leftOut[event];
+        ++it.dropped[event];
         return false;
     }
     ++written;
     return true;
 }
 
-std::map<Event, uint64_t> takeLeftOut(LogBudget& it, Time now)
+std::map<Event, uint64_t> takeDropped(LogBudget& it, Time now)
 {
-    if (it.leftOut.empty() || now - it.second < second)
+    if (it.dropped.empty() || now - it.second < second)
         return {};
-    return std::exchange(it.leftOut, {});
+    return std::exchange(it.dropped, {});
 }
 
 } // namespace appletally::base
--- a/src/appletally/base/log.h
+++ b/src/appletally/base/log.h
@@ -50,10 +50,10 @@
     Time second; // when the present second began
     int failures = 0; // written in it
     int others = 0;
-    std::map<Event, uint64_t> leftOut; // since it was last told
+    std::map<Event, uint64_t> dropped; // since it was last told
 };
 
 bool mayWrite(LogBudget&, Event, Time now);
-std::map<Event, uint64_t> takeLeftOut(LogBudget&, Time now); // not empty once a second, where something was left out
+std::map<Event, uint64_t> takeDropped(LogBudget&, Time now); // not empty once a second, where something was left out
 
 } // namespace appletally::base
--- a/src/appletally/config/applied.h
+++ b/src/appletally/config/applied.h
@@ -26,7 +26,7 @@
 
 // Each returns whether something new is in force now. On an error nothing has changed but `refused`:
 //   VersionTooOld    not above what is held: doubled, crossed, or from a source that lags
-//   DeltaDoesNotFit  ask for a snapshot, or for a delta from heldVersion()
+//   DeltaMismatch    ask for a snapshot, or for a delta from heldVersion()
 //   others           from validate(): refused whole; what is in force stays
 base::Result<bool> applySnapshot(Applied&, Snapshot);
 base::Result<bool> applyDelta(Applied&, const Delta&);
--- a/src/appletally/config/delta.cpp
+++ b/src/appletally/config/delta.cpp
@@ -163,7 +163,7 @@
     if (delta.to <= snapshot.version)
         return base::fail(Code::VersionTooOld, "a delta to " + std::to_string(delta.to.value) + " where " + std::to_string(snapshot.version.value) + " is held");
     if (delta.from != snapshot.version)
-        return base::fail(Code::DeltaDoesNotFit, "a delta from " + std::to_string(delta.from.value) + " where " + std::to_string(snapshot.version.value) + " is held");
+        return base::fail(Code::DeltaMismatch, "a delta from " + std::to_string(delta.from.value) + " where " + std::to_string(snapshot.version.value) + " is held");
     Snapshot out = snapshot;
     out.version = delta.to;
     put(out.services, delta.services, delta.goneServices, &Service::name);
@@ -174,7 +174,7 @@
     out.callerLimits = delta.callerLimits.value_or(out.callerLimits);
     out.sum = sumAfter(snapshot, out);
     if (out.sum.value != delta.resultHash)
-        return base::fail(Code::DeltaDoesNotFit, "the result of the delta to " + std::to_string(delta.to.value) + " has another hash");
+        return base::fail(Code::DeltaMismatch, "the result of the delta to " + std::to_string(delta.to.value) + " has another hash");
     return out;
 }
 
--- a/src/appletally/config/delta.h
+++ b/src/appletally/config/delta.h
@@ -34,7 +34,7 @@
 
 // The snapshot at `delta.to`, not yet validated. Harmless to repeat:
 //   VersionTooOld    `snapshot` is at `delta.to` or above: doubled or overtaken
-//   DeltaDoesNotFit  it starts elsewhere, or the result has another hash
+//   DeltaMismatch    it starts elsewhere, or the result has another hash
 base::Result<Snapshot> patch(const Snapshot& snapshot, const Delta& delta);
 
 std::string encode(const Delta&);
--- a/src/appletally/config/endpoint_mirror.cpp
+++ b/src/appletally/config/endpoint_mirror.cpp
@@ -22,7 +22,7 @@
         if (sameRegistry && place(delta.to) <= place(mirror.cursor))
             return base::fail(Code::VersionTooOld, "endpoints were read up to " + std::to_string(mirror.cursor.change));
         if (!delta.whole && !(delta.from == mirror.cursor))
-            return base::fail(Code::DeltaDoesNotFit, "endpoints from " + std::to_string(delta.from.change) + " where " + std::to_string(mirror.cursor.change) + " was read");
+            return base::fail(Code::DeltaMismatch, "endpoints from " + std::to_string(delta.from.change) + " where " + std::to_string(mirror.cursor.change) + " was read");
         return base::success();
     }
 
--- a/src/appletally/config/endpoint_mirror.h
+++ b/src/appletally/config/endpoint_mirror.h
@@ -27,7 +27,7 @@
 
 // Returns what is news for the node's task. On an error nothing has changed:
 //   VersionTooOld    doubled or overtaken; harmless
-//   DeltaDoesNotFit  one before it is missing; ask from `cursor`
+//   DeltaMismatch    one before it is missing; ask from `cursor`
 base::Result<std::vector<Endpoint>> applyEndpoints(EndpointMirror&, const EndpointsDelta&, base::Time now);
 
 // While the source is linked: drops what was in doubt for too long, returns it as Gone. Not to be called without a
--- a/src/appletally/control/distributor.cpp
+++ b/src/appletally/control/distributor.cpp
@@ -80,7 +80,7 @@
 {
     if (m_subscribers.size() >= m_limits.mostSubscribers) {
         ++m_counters.cameBackLater;
-        return base::fail(base::Code::ComeBackLater, "as many as this source can serve are linked", fullComeBack);
+        return base::fail(base::Code::RetryLater, "as many as this source can serve are linked", fullComeBack);
     }
     if (m_isolated && !promised) {
         ++m_counters.cameBackLater;
@@ -89,7 +89,7 @@
     const policy::Entry entry = policy::admit(m_limits.starts, promised, base::steadyNow(), inner::randomNumber());
     if (!entry.letIn) {
         ++m_counters.cameBackLater;
-        return base::fail(base::Code::ComeBackLater, "more are starting than this source can bring up", entry.comeBackIn);
+        return base::fail(base::Code::RetryLater, "more are starting than this source can bring up", entry.comeBackIn);
     }
     ++m_counters.subscribed;
     ++m_starting;
--- a/src/appletally/control/distributor.h
+++ b/src/appletally/control/distributor.h
@@ -61,7 +61,7 @@
     // `endpoints` must outlive the distributor; endpointsChanged() says that there is news in it.
     Distributor(kj::Timer&, DistributorLimits, const config::EndpointRegistry& endpoints);
 
-    // Overloaded sources answer ComeBackLater, those without the other control processes SourceIsolated.
+    // Overloaded sources answer RetryLater, those without the other control processes SourceIsolated.
     base::Result<Subscription> subscribe(const base::HostId& who, base::ConfigVersion have, config::EndpointCursor, inner::rpc::Feed::Client, bool promised);
     void unsubscribe(uint64_t subscriber); // repeats harmlessly
 
--- a/src/appletally/control/documents.cpp
+++ b/src/appletally/control/documents.cpp
@@ -128,7 +128,7 @@
     std::string names;
     for (size_t n = 0; n < std::min(lacking.size(), mostNodesNamed); ++n)
         names += " " + lacking[n].text;
-    base::logEvent(base::Event::AnsweredBeforeAll, "version " + std::to_string(version.value) + ": " + std::to_string(lacking.size()) + " of " + std::to_string(m_convergence.nodes.size()) + " nodes have not confirmed it after " + std::to_string(inForceLimit.ms) + " ms:" + names);
+    base::logEvent(base::Event::AcknowledgedBeforeAll, "version " + std::to_string(version.value) + ": " + std::to_string(lacking.size()) + " of " + std::to_string(m_convergence.nodes.size()) + " nodes have not confirmed it after " + std::to_string(inForceLimit.ms) + " ms:" + names);
 }
 
 void ControlProcess::wakeInForceWaiters()
--- a/src/appletally/control/duties.cpp
+++ b/src/appletally/control/duties.cpp
@@ -138,7 +138,7 @@
         consensus::closeFolder(opened.value());
         return;
     }
-    base::logEvent(base::Event::DiskOpenedAgain, "the replica begins with log index " + std::to_string(opened.value().state.commit.value));
+    base::logEvent(base::Event::DiskReopened, "the replica begins with log index " + std::to_string(opened.value().state.commit.value));
     m_state = {};
     m_appliedIndex = {};
     m_unreleased.clear();
--- a/src/appletally/control/process.cpp
+++ b/src/appletally/control/process.cpp
@@ -275,7 +275,7 @@
         const config::RolloutRecord& record = m_state.ended.back();
         const bool completed = record.end == config::RolloutEnd::Completed;
         const bool takenBack = record.end == config::RolloutEnd::TakenBack;
-        const base::Event event = completed ? base::Event::RolloutCompleted : (takenBack ? base::Event::RolloutTakenBack : base::Event::RolloutStopped);
+        const base::Event event = completed ? base::Event::RolloutCompleted : (takenBack ? base::Event::RolloutRolledBack : base::Event::RolloutStopped);
         base::logEvent(event, id.text + ": " + record.why + "; " + describeReady(it));
     }
 }
--- a/src/appletally/control/run.cpp
+++ b/src/appletally/control/run.cpp
@@ -58,7 +58,7 @@
             return opened.error();
         disk = std::move(opened.value());
         if (disk->cutBytes != 0)
-            base::logEvent(base::Event::LogTailCut, std::to_string(disk->cutBytes) + " bytes of an unfinished write");
+            base::logEvent(base::Event::LogTailTruncated, std::to_string(disk->cutBytes) + " bytes of an unfinished write");
     }
     ControlProcess process(io, settings, std::move(disk));
     const auto address = process.listen();
@@ -84,7 +84,7 @@
                            .then([] { return true; })
                            .exclusiveJoin(timer.afterDelay(settings.stopBound.ms * kj::MILLISECONDS).then([] { return false; }))
                            .wait(io.waitScope);
-    base::logEvent(quiet ? base::Event::Stopped : base::Event::StopBoundReached, quiet ? "nothing is under way" : "changes were still under way");
+    base::logEvent(quiet ? base::Event::Stopped : base::Event::GracefulShutdownTimedOut, quiet ? "nothing is under way" : "changes were still under way");
     return base::success();
 }
 
--- a/src/appletally/control/sessions.cpp
+++ b/src/appletally/control/sessions.cpp
@@ -33,7 +33,7 @@
             // With an empty disk it starts sooner than all others and draws every node that waits for a source; they would
             // stay until it is let in and has caught up, while the others could have served them.
             if (!m_process.knowsMembers()) {
-                inner::write(context.getResults().initFailure(), base::fail(base::Code::ComeBackLater, "this source has not been let in yet", notLetInComeBack));
+                inner::write(context.getResults().initFailure(), base::fail(base::Code::RetryLater, "this source has not been let in yet", notLetInComeBack));
                 return kj::READY_NOW;
             }
             auto subscribed = m_process.distributor().subscribe(m_who, { params.getHave() }, inner::read(params.getCursor()), params.getFeed(), params.getPromised());
--- a/src/appletally/ctl/client.cpp
+++ b/src/appletally/ctl/client.cpp
@@ -27,9 +27,9 @@
         case Code::OutcomePending:
         case Code::DiskFull: // of one voter; another may lead
         case Code::DiskFailed:
-        case Code::PeerSilent:
+        case Code::PeerTimedOut:
         case Code::PeerGone:
-        case Code::ComeBackLater:
+        case Code::RetryLater:
             return true;
         default:
             return false;
@@ -67,7 +67,7 @@
         return linked.error();
     kj::Own<inner::RpcLink> link = kj::mv(linked.value());
     auto late = m_io.provider->getTimer().afterDelay(answerLimit.ms * kj::MILLISECONDS).then([&address] {
-        return base::fail(base::Code::PeerSilent, address.text() + " gave no answer within " + std::to_string(answerLimit.ms) + " ms");
+        return base::fail(base::Code::PeerTimedOut, address.text() + " gave no answer within " + std::to_string(answerLimit.ms) + " ms");
     });
     return ask(link->session.castAs<inner::rpc::Operator>())
         .catch_([&address](kj::Exception&& problem) { return base::fail(base::Code::PeerGone, address.text() + ": " + inner::describe(problem)); })
--- a/src/appletally/ctl/commands.cpp
+++ b/src/appletally/ctl/commands.cpp
@@ -62,7 +62,7 @@
             return written;
         const base::RequestNumber used = config::requestOf(command)->number;
         const auto done = client.change(command);
-        if (!done && (done.error().code == Code::OutcomePending || done.error().code == Code::PeerGone || done.error().code == Code::PeerSilent || done.error().code == Code::NoQuorum))
+        if (!done && (done.error().code == Code::OutcomePending || done.error().code == Code::PeerGone || done.error().code == Code::PeerTimedOut || done.error().code == Code::NoQuorum))
             return base::fail(done.error().code, done.error().text + "; run the same command again to learn the outcome of request " + std::to_string(used.value));
         file.value().pending.reset();
         if (auto written = writeRequestFile(file.value()); !written)
--- a/src/appletally/ctl/explain.cpp
+++ b/src/appletally/ctl/explain.cpp
@@ -38,7 +38,7 @@
 
     bool explainsGaps(const LogLine& it)
     {
-        return is(it, Event::Started) || is(it, Event::Stopped) || is(it, Event::LogLinesLeftOut);
+        return is(it, Event::Started) || is(it, Event::Stopped) || is(it, Event::LogLinesDropped);
     }
 
     std::string text(const LogLine& it, const char* key)
@@ -103,7 +103,7 @@
         if (found == logs.hosts.end())
             return "no log of this host was given";
         for (const LogLine& it : found->second) {
-            if (!is(it, Event::LogLinesLeftOut) || it.at < around || it.at - around > leftOutToldWithin)
+            if (!is(it, Event::LogLinesDropped) || it.at < around || it.at - around > leftOutToldWithin)
                 continue;
             for (const Event event : events) {
                 const std::string name(base::info(event).name);
--- a/src/appletally/http/caller_connection.cpp
+++ b/src/appletally/http/caller_connection.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-std::string refusalBody(const base::Error& error, bool notRun)
+std::string errorBody(const base::Error& error, bool notRun)
 {
     const base::CodeInfo& entry = base::info(error.code);
     const nlohmann::json body = { { "code", static_cast<int>(error.code) }, { "name", entry.name }, { "notRun", notRun },
@@ -107,8 +107,8 @@
 
 void CallerExchange::abort()
 {
-    gone = nullptr;
-    drained = nullptr;
+    onGone = nullptr;
+    onDrained = nullptr;
     // A plain close could look like an end to a reader of an answer without a length; a reset never does.
     const linger reset { 1, 0 };
     setsockopt(bufferevent_getfd(m_connection->buffers), SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
@@ -158,8 +158,8 @@
     if (line.empty() || !line.front()->m_begun)
         return;
     since = base::steadyNow();
-    if (line.front()->drained)
-        line.front()->drained();
+    if (line.front()->onDrained)
+        line.front()->onDrained();
 }
 
 void CallerConnection::onEvent(short what)
@@ -179,7 +179,7 @@
 
 bool CallerConnection::readStep()
 {
-    reader.mostHeadBytes = listener.m_limits.mostHeaderBytes;
+    reader.mostHeadBytes = listener.m_limits.maxHeaderBytes;
     const bool fresh = !reader.inMessage;
     evbuffer* body = evbuffer_new();
     const ReadStep step = readOn(reader, bufferevent_get_input(buffers), body);
@@ -233,7 +233,7 @@
     request.peerIp = peerIp;
     if (!knownMethod(request.method))
         return refuse(Code::RequestMalformed, "an unknown method");
-    bodyLimit = std::min(listener.m_hooks.bodyLimit(request), listener.m_limits.mostBodyBytes);
+    bodyLimit = std::min(listener.m_hooks.bodyLimit(request), listener.m_limits.maxBodyBytes);
     if (reader.head.length > 0 && static_cast<uint64_t>(reader.head.length) > bodyLimit)
         return refuse(Code::BodyTooLarge, "body over " + std::to_string(bodyLimit) + " bytes");
     const std::string* expects = findHeader(request.headers, "Expect");
@@ -271,7 +271,7 @@
     CallerExchange* it = incoming.get();
     line.push_back(std::move(incoming));
     const base::Error error = base::fail(code, text);
-    it->reply(base::info(code).httpStatus, { { "Content-Type", "application/json" }, { "Appletally-Result", std::to_string(static_cast<int>(code)) } }, refusalBody(error, true));
+    it->reply(base::info(code).httpStatus, { { "Content-Type", "application/json" }, { "Appletally-Result", std::to_string(static_cast<int>(code)) } }, errorBody(error, true));
 }
 
 void CallerConnection::startWaiting()
@@ -322,8 +322,8 @@
     while (!line.empty()) {
         auto it = std::move(line.back());
         line.pop_back();
-        if (it->m_begun && !it->m_answered && it->gone)
-            it->gone();
+        if (it->m_begun && !it->m_answered && it->onGone)
+            it->onGone();
         listener.m_deadExchanges.push_back(std::move(it));
     }
     event_active(listener.m_bury, 0, 0);
@@ -348,8 +348,8 @@
     while (!line.empty()) {
         auto it = std::move(line.front());
         line.pop_front();
-        if (it->m_begun && it->gone)
-            it->gone();
+        if (it->m_begun && it->onGone)
+            it->onGone();
         listener.m_deadExchanges.push_back(std::move(it));
     }
     bufferevent_disable(buffers, EV_READ | EV_WRITE);
@@ -370,12 +370,12 @@
     if (closing == Closing::Lingering)
         return now - since > lingerTime;
     if (backlog > 0)
-        return now - since > limits.stalledTime;
+        return now - since > limits.stallTimeout;
     if (!line.empty())
         return false; // a request runs; its own deadline ends it
     if (reader.inMessage)
-        return now - since > (reader.headDone ? limits.receiveTime : std::min(limits.headerTime, limits.receiveTime));
-    return now - since > limits.idleTime;
+        return now - since > (reader.headDone ? limits.receiveTimeout : std::min(limits.headerTimeout, limits.receiveTimeout));
+    return now - since > limits.idleTimeout;
 }
 
 } // namespace appletally::http
--- a/src/appletally/http/caller_listener.cpp
+++ b/src/appletally/http/caller_listener.cpp
@@ -36,7 +36,7 @@
     while (!m_connections.empty()) {
         CallerConnection* it = *m_connections.begin();
         for (const auto& exchange : it->line)
-            exchange->gone = nullptr;
+            exchange->onGone = nullptr;
         it->drop();
     }
     bury();
@@ -67,9 +67,9 @@
 
 void CallerListener::accept(evutil_socket_t fd, const std::string& peerIp)
 {
-    if (m_connections.size() >= m_limits.mostConnections) {
+    if (m_connections.size() >= m_limits.maxConnections) {
         evutil_closesocket(fd);
-        ++m_counts.turnedAway;
+        ++m_counts.rejected;
         return;
     }
     m_connections.insert(new CallerConnection(*this, fd, peerIp)); // drop() hands it to m_dead
--- a/src/appletally/http/caller_listener.h
+++ b/src/appletally/http/caller_listener.h
@@ -28,13 +28,13 @@
 namespace appletally::http {
 
 struct ListenerLimits {
-    size_t mostHeaderBytes = 32 * 1024; // all header fields together; cookies rarely pass 8 KB
-    size_t mostBodyBytes = 1024 * 1024; // no route may ask for more; a route's own limit is lower
-    size_t mostConnections = 4000; // at about 10 KB each they stay below the node's memory
-    base::Duration headerTime { 10000 }; // from a request's first byte to the end of its head
-    base::Duration receiveTime { 10000 }; // from a request's first byte to its last
-    base::Duration idleTime { 60000 }; // between requests
-    base::Duration stalledTime { 15000 }; // a caller that takes no byte of its answer for so long is gone
+    size_t maxHeaderBytes = 32 * 1024; // all header fields together; cookies rarely pass 8 KB
+    size_t maxBodyBytes = 1024 * 1024; // no route may ask for more; a route's own limit is lower
+    size_t maxConnections = 4000; // at about 10 KB each they stay below the node's memory
+    base::Duration headerTimeout { 10000 }; // from a request's first byte to the end of its head
+    base::Duration receiveTimeout { 10000 }; // from a request's first byte to its last
+    base::Duration idleTimeout { 60000 }; // between requests
+    base::Duration stallTimeout { 15000 }; // a caller that takes no byte of its answer for so long is gone
 };
 
 struct ListenerCounts {
@@ -44,7 +44,7 @@
     uint64_t tooLarge = 0;
     uint64_t tooSlow = 0;
     uint64_t closedEarly = 0; // by the caller, before its answer was out
-    uint64_t turnedAway = 0; // over mostConnections
+    uint64_t rejected = 0; // over mostConnections
 };
 
 struct CallerRequest {
@@ -74,8 +74,8 @@
     void abort(); // closes the connection: the only way to tell a caller that a started answer is cut
     size_t backlog() const; // answer bytes that the caller has not taken yet
 
-    std::function<void()> drained; // the backlog is empty again
-    std::function<void()> gone; // the caller closed or was given up; the exchange dies after it
+    std::function<void()> onDrained; // the backlog is empty again
+    std::function<void()> onGone; // the caller closed or was given up; the exchange dies after it
 
 private:
     friend class CallerListener;
@@ -118,7 +118,7 @@
     void setDraining(bool); // every answer then closes its connection
     void stopAccepting();
     void closeIdle(); // connections without a request under way, after pending data on their sockets has been read
-    bool quiet() const { return m_connections.empty(); } // every answer is out; ending the process now cuts none
+    bool allConnectionsClosed() const { return m_connections.empty(); } // every answer is out; ending the process now cuts none
     const ListenerLimits& limits() const { return m_limits; }
     const ListenerCounts& counts() const { return m_counts; }
 
@@ -145,6 +145,6 @@
 };
 
 // The body of an answer that this process gives by itself.
-std::string refusalBody(const base::Error&, bool notRun);
+std::string errorBody(const base::Error&, bool notRun);
 
 } // namespace appletally::http
--- a/src/appletally/http/upstream_client.cpp
+++ b/src/appletally/http/upstream_client.cpp
@@ -145,7 +145,7 @@
 void UpstreamConnection::onReadable()
 {
     if (!call) {
-        ++client.m_counts.strayBytes;
+        ++client.m_counts.unsolicitedBytes;
         return client.drop(*this);
     }
     while (!dropped && call && step()) { }
@@ -172,7 +172,7 @@
         onAnswerEnd();
         return true;
     default:
-        end(base::fail(Code::UpstreamBroke, "the upstream's answer is no HTTP: " + reader.problem));
+        end(base::fail(Code::InvalidUpstreamAnswer, "the upstream's answer is no HTTP: " + reader.problem));
         return false;
     }
 }
@@ -188,9 +188,9 @@
     if (!request.id.empty()) {
         const std::string* id = findHeader(reader.head.headers, request.idHeader);
         if (!id)
-            return end(base::fail(Code::UpstreamBroke, "the upstream's answer does not say to which request it belongs"));
+            return end(base::fail(Code::InvalidUpstreamAnswer, "the upstream's answer does not say to which request it belongs"));
         if (*id != request.id) {
-            ++client.m_counts.strayAnswers;
+            ++client.m_counts.unsolicitedAnswers;
             skipping = stray = true;
             return;
         }
@@ -209,7 +209,7 @@
         startReading(reader);
         reader.bodyless = call->m_request.method == "HEAD";
         if (!keepAlive)
-            end(base::fail(Code::UpstreamBroke, "the upstream closed before it answered"));
+            end(base::fail(Code::InvalidUpstreamAnswer, "the upstream closed before it answered"));
         return;
     }
     if (!keepAlive)
@@ -227,7 +227,7 @@
         life = {};
         return end({});
     }
-    end(base::fail(answering ? Code::AnswerCut : Code::OutcomeUnknown, answering ? "the answer ended before its time" : "the upstream closed without an answer"));
+    end(base::fail(answering ? Code::AnswerTruncated : Code::OutcomeUnknown, answering ? "the answer ended before its time" : "the upstream closed without an answer"));
 }
 
 void UpstreamConnection::end(std::optional<base::Error> error)
@@ -236,7 +236,7 @@
     call = nullptr;
     const bool unsent = evbuffer_get_length(bufferevent_get_output(buffers)) > 0; // it answered before it had the whole body
     const bool unread = evbuffer_get_length(bufferevent_get_input(buffers)) > 0; // something behind the answer
-    client.m_counts.strayBytes += unread ? 1 : 0;
+    client.m_counts.unsolicitedBytes += unread ? 1 : 0;
     const uint64_t bytes = reader.bodyBytes;
     const bool keeps = !error && !unsent && !unread && !stray && life > Duration {};
     if (keeps)
--- a/src/appletally/http/upstream_client.h
+++ b/src/appletally/http/upstream_client.h
@@ -62,8 +62,8 @@
 struct ClientCounts {
     uint64_t dialed = 0;
     uint64_t reused = 0;
-    uint64_t strayAnswers = 0; // dropped, because they repeated another request's id
-    uint64_t strayBytes = 0; // connections closed because they held bytes that nobody asked for
+    uint64_t unsolicitedAnswers = 0; // dropped, because they repeated another request's id
+    uint64_t unsolicitedBytes = 0; // connections closed because they held bytes that nobody asked for
 };
 
 class UpstreamClient;
--- a/src/appletally/inner/node_link.cpp
+++ b/src/appletally/inner/node_link.cpp
@@ -62,7 +62,7 @@
                 bufferevent_set_timeouts(buffers, nullptr, nullptr);
                 static_cast<NodeLink*>(self)->greet();
             } else if (what & BEV_EVENT_TIMEOUT)
-                static_cast<NodeLink*>(self)->fail(base::fail(Code::PeerSilent, "no connection within " + std::to_string(connectLimit.ms) + " ms"));
+                static_cast<NodeLink*>(self)->fail(base::fail(Code::PeerTimedOut, "no connection within " + std::to_string(connectLimit.ms) + " ms"));
             else if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
                 static_cast<NodeLink*>(self)->fail(base::fail(Code::PeerGone, "the connection closed"));
         },
@@ -227,7 +227,7 @@
     if (m_failure)
         return;
     if (base::steadyNow() - m_lastHeard > silenceLimit)
-        return fail(base::fail(Code::PeerSilent, "no byte for " + std::to_string(silenceLimit.ms) + " ms"));
+        return fail(base::fail(Code::PeerTimedOut, "no byte for " + std::to_string(silenceLimit.ms) + " ms"));
     if (m_stage != Stage::Up)
         return;
     capnp::MallocMessageBuilder message;
--- a/src/appletally/inner/rpc_connection.h
+++ b/src/appletally/inner/rpc_connection.h
@@ -2,7 +2,7 @@
 //
 // A connection may go silent for good without either end being told, because something between them lost track of it.
 // Calls on it would then wait for ever. Every byte read is a sign of life; a connection without one for rpcSilenceLimit
-// ends with PeerSilent, and whoever owns it makes a new one.
+// ends with PeerTimedOut, and whoever owns it makes a new one.
 #pragma once
 
 #include "appletally/base/result.h"
--- a/src/appletally/inner/rpc_link.cpp
+++ b/src/appletally/inner/rpc_link.cpp
@@ -86,7 +86,7 @@
     it.link->connection = std::make_unique<RpcConnection>(timer, kj::mv(stream), RpcConnection::End::Client, nullptr);
     return greet(it)
         .exclusiveJoin(timer.afterDelay(proofLimit.ms * kj::MILLISECONDS).then([address]() -> Outcome {
-            return base::fail(base::Code::PeerSilent, address.text() + " did not prove itself within " + std::to_string(proofLimit.ms) + " ms");
+            return base::fail(base::Code::PeerTimedOut, address.text() + " did not prove itself within " + std::to_string(proofLimit.ms) + " ms");
         }))
         .catch_([address](kj::Exception&& problem) -> Outcome { return base::fail(base::Code::PeerGone, address.text() + ": " + describe(problem)); })
         .attach(kj::mv(greeting));
--- a/src/appletally/inner/rpc_link.h
+++ b/src/appletally/inner/rpc_link.h
@@ -14,7 +14,7 @@
     rpc::Session::Client session = nullptr; // cast to the interface of the role
 };
 
-// Neither rejects. Errors: PeerGone (cannot be reached), PeerSilent (no connection within `limit`, no proof within proofLimit of the
+// Neither rejects. Errors: PeerGone (cannot be reached), PeerTimedOut (no connection within `limit`, no proof within proofLimit of the
 // connection), WrongCluster, WrongKey (this side's or the peer's), or what the peer refuses with.
 kj::Promise<base::Result<kj::Own<RpcLink>>> connect(kj::AsyncIoContext&, const Membership&, const base::Address&, rpc::Role, base::Duration limit = connectLimit);
 kj::Promise<base::Result<kj::Own<RpcLink>>> prove(kj::AsyncIoContext&, const Membership&, const base::Address&, rpc::Role, kj::Own<kj::AsyncIoStream>);
--- a/src/appletally/inner/rpc_port.cpp
+++ b/src/appletally/inner/rpc_port.cpp
@@ -218,7 +218,7 @@
         return;
     m_counters.malformed += problem.code == base::Code::MessageMalformed;
     m_counters.tooLarge += problem.code == base::Code::MessageTooLarge;
-    m_counters.silent += problem.code == base::Code::PeerSilent;
+    m_counters.silent += problem.code == base::Code::PeerTimedOut;
     m_counters.bytesIn += it->second->connection->bytesIn();
     m_counters.bytesOut += it->second->connection->bytesOut();
     const bool proven = it->second->proven;
--- a/src/appletally/inner/source_client.cpp
+++ b/src/appletally/inner/source_client.cpp
@@ -195,7 +195,7 @@
         if (failed(answer.getFailure())) {
             const base::Error problem = read(answer.getFailure());
             const bool isolated = problem.code == base::Code::SourceIsolated;
-            if (isolated || problem.code == base::Code::ComeBackLater) {
+            if (isolated || problem.code == base::Code::RetryLater) {
                 ++m_counters.cameBackLater;
                 m_refusal = policy::SourceRefusal { problem.retryAfter, isolated };
             }
@@ -203,7 +203,7 @@
         }
         ++m_counters.links;
         m_subscribed = true;
-        base::logEvent(base::Event::SourceTaken, m_link->address.text());
+        base::logEvent(base::Event::SourceSelected, m_link->address.text());
         m_linkedSince = base::steadyNow();
         m_failures = 0;
         policy::succeeded(m_race.sources[m_current].backoff);
@@ -263,7 +263,7 @@
     const ContentPiece piece { { in.getVersion() }, { in.getFrom() }, bytes(in.getBytes()) };
     const auto taken = apply(m_applied, piece);
     if (!taken) {
-        const bool misfit = taken.error().code == base::Code::DeltaDoesNotFit;
+        const bool misfit = taken.error().code == base::Code::DeltaMismatch;
         ++(misfit ? m_counters.misfits : m_counters.refused);
         if (taken.error().code != base::Code::VersionTooOld) // late or doubled: nothing to see
             base::logEvent(base::Event::VersionRefused, "version " + std::to_string(in.getVersion()) + ": " + taken.error().text);
--- a/src/appletally/node/early_requests.cpp
+++ b/src/appletally/node/early_requests.cpp
@@ -30,7 +30,7 @@
     const base::Time now = base::steadyNow();
     const base::Duration within = std::min(base::Duration { timeLeft.ms / partOfTimeLeft }, longestKept);
     m_kept.push_back({ &exchange, now, now + within });
-    exchange.gone = [this, gone = &exchange] { std::erase_if(m_kept, [&](const Kept& it) { return it.exchange == gone; }); };
+    exchange.onGone = [this, gone = &exchange] { std::erase_if(m_kept, [&](const Kept& it) { return it.exchange == gone; }); };
     arm();
     return true;
 }
@@ -45,7 +45,7 @@
 void EarlyRequests::serveAll()
 {
     for (const Kept& it : std::exchange(m_kept, {})) {
-        it.exchange->gone = nullptr;
+        it.exchange->onGone = nullptr;
         m_serve(*it.exchange, it.since);
     }
 }
@@ -53,7 +53,7 @@
 void EarlyRequests::refuseAll()
 {
     for (const Kept& it : std::exchange(m_kept, {})) {
-        it.exchange->gone = nullptr;
+        it.exchange->onGone = nullptr;
         m_refuse(*it.exchange);
     }
 }
@@ -68,7 +68,7 @@
     }
     std::erase_if(m_kept, [&](const Kept& it) { return it.until <= now; });
     for (const Kept& it : over) {
-        it.exchange->gone = nullptr;
+        it.exchange->onGone = nullptr;
         m_refuse(*it.exchange);
     }
     arm();
--- a/src/appletally/node/ingress.cpp
+++ b/src/appletally/node/ingress.cpp
@@ -59,10 +59,10 @@
 http::ListenerLimits Ingress::limitsOf(const config::CallerLimits& agreed) const
 {
     http::ListenerLimits out = m_settings.limits;
-    out.mostHeaderBytes = agreed.header.count > 0 ? agreed.header.count : out.mostHeaderBytes;
-    out.mostBodyBytes = agreed.body.count > 0 ? agreed.body.count : out.mostBodyBytes;
-    out.headerTime = agreed.headerTime.ms > 0 ? agreed.headerTime : out.headerTime;
-    out.idleTime = agreed.idleTime.ms > 0 ? agreed.idleTime : out.idleTime;
+    out.maxHeaderBytes = agreed.header.count > 0 ? agreed.header.count : out.maxHeaderBytes;
+    out.maxBodyBytes = agreed.body.count > 0 ? agreed.body.count : out.maxBodyBytes;
+    out.headerTimeout = agreed.headerTime.ms > 0 ? agreed.headerTime : out.headerTimeout;
+    out.idleTimeout = agreed.idleTime.ms > 0 ? agreed.idleTime : out.idleTimeout;
     return out;
 }
 
@@ -91,7 +91,7 @@
     const auto service = m_snapshot->services.find(it.route->service);
     if (service == m_snapshot->services.end() || !m_stopped[service->first].insert(pick.version).second)
         return;
-    base::logEvent(base::Event::VersionStoppedHere, service->first.text + " " + pick.version.text + ": " + pick.host.text + " refuses it");
+    base::logEvent(base::Event::VersionStoppedLocally, service->first.text + " " + pick.version.text + ": " + pick.host.text + " refuses it");
     setShares(service->second);
 }
 
@@ -154,7 +154,7 @@
     count("appletally_caller_refusals_total", "reason=\"malformed\"", in.malformed);
     count("appletally_caller_refusals_total", "reason=\"too_large\"", in.tooLarge);
     count("appletally_caller_refusals_total", "reason=\"too_slow\"", in.tooSlow);
-    count("appletally_caller_refusals_total", "reason=\"too_many_connections\"", in.turnedAway);
+    count("appletally_caller_refusals_total", "reason=\"too_many_connections\"", in.rejected);
     std::map<std::string, size_t> states;
     for (const auto& [host, it] : m_endpoints)
         ++states[config::stateName(it.state)];
@@ -167,7 +167,7 @@
     nlohmann::json out;
     const http::ListenerCounts& in = m_listener.counts();
     out["callers"] = { { "connections", in.connections }, { "requests", in.requests }, { "malformed", in.malformed }, { "tooLarge", in.tooLarge },
-        { "tooSlow", in.tooSlow }, { "closedEarly", in.closedEarly }, { "turnedAway", in.turnedAway } };
+        { "tooSlow", in.tooSlow }, { "closedEarly", in.closedEarly }, { "turnedAway", in.rejected } };
     out["counts"] = { { "answered", m_counts.answered }, { "refused", m_counts.refused }, { "unknown", m_counts.unknown }, { "retried", m_counts.retried }, { "hedged", m_counts.hedged }, { "shared", m_counts.shared }, { "gone", m_counts.gone } };
     out["underWay"] = m_calls.size();
     out["latencyMicros"] = m_latency.toJson();
--- a/src/appletally/node/ingress.h
+++ b/src/appletally/node/ingress.h
@@ -65,7 +65,7 @@
     void drain(); // answers close their connections from now on
     void stop(); // takes no new connection; what is under way goes on
     void answerAll(); // the process ends in a moment: what waits for an upstream gets its final answer now
-    bool idle() const { return m_calls.empty() && m_listener.quiet(); } // after stop()
+    bool idle() const { return m_calls.empty() && m_listener.allConnectionsClosed(); } // after stop()
     nlohmann::json toJson() const;
     void writeMetrics(base::MetricsText&) const;
 
--- a/src/appletally/node/ingress_answer.cpp
+++ b/src/appletally/node/ingress_answer.cpp
@@ -135,9 +135,9 @@
 {
     std::optional<base::Error> error = end.error;
     if (!error && !tried.head)
-        error = base::fail(Code::AnswerCut, "an end without a beginning");
+        error = base::fail(Code::AnswerTruncated, "an end without a beginning");
     if (!error && tried.head->length >= 0 && it.call.method != "HEAD" && tried.bodyBytes != static_cast<uint64_t>(tried.head->length))
-        error = base::fail(Code::AnswerCut, "the answer is shorter or longer than it said");
+        error = base::fail(Code::AnswerTruncated, "the answer is shorter or longer than it said");
     const auto ending = take(it, tried);
     if (!error || !base::info(error->code).notRun)
         view(it, *ending, error || ending->head->status >= 500, end.runMicros);
@@ -147,7 +147,7 @@
     }
     settle(it, *ending, kindOf(*error), end);
     it.mayHaveRun |= !base::info(error->code).notRun;
-    if (error->code == Code::VersionTakenBack)
+    if (error->code == Code::VersionRolledBack)
         stopVersion(it, ending->pick);
     if (it.underWay.empty())
         onFailedTry(it, *error); // else the other copy decides
@@ -171,8 +171,8 @@
     base::logRequest(base::Event::RequestAnswered, it.name,
         { { "route", it.route->name.text }, { "upstream", tried.pick.host.text }, { "status", tried.head->status }, { "took_ms", (base::steadyNow() - it.began).ms }, { "tries", it.tries } });
     if (it.streaming) {
-        it.exchange->gone = nullptr;
-        it.exchange->drained = nullptr;
+        it.exchange->onGone = nullptr;
+        it.exchange->onDrained = nullptr;
         it.exchange->endStream();
         return forget(it);
     }
@@ -191,8 +191,8 @@
 
 void Ingress::giveHeld(Active& it, const http::AnswerHead& head, const std::string& body)
 {
-    it.exchange->gone = nullptr;
-    it.exchange->drained = nullptr;
+    it.exchange->onGone = nullptr;
+    it.exchange->onDrained = nullptr;
     it.exchange->reply(head.status, answerHeaders(head), body);
     forget(it);
 }
@@ -242,7 +242,7 @@
         return giveUp(it, last);
     }
     ++m_counts.retried;
-    base::logRequest(base::Event::RequestTriedAgain, it.name,
+    base::logRequest(base::Event::RequestRetried, it.name,
         { { "code", static_cast<int64_t>(error.code) }, { "why", error.text }, { "tries", it.tries }, { "after_ms", decision.after.ms }, { "budget_thousandths", m_retries[it.call.service].tokens } });
     if (decision.after.ms <= 0)
         return send(it);
@@ -339,8 +339,8 @@
     base::logRequest(notRun ? base::Event::RequestRefused : base::Event::OutcomeLost, it.name,
         { { "route", it.route->name.text }, { "code", static_cast<int64_t>(error.code) }, { "why", error.text }, { "tries", it.tries }, { "took_ms", (base::steadyNow() - it.began).ms },
             { "left_ms", (it.call.deadline - base::steadyNow()).ms }, { "retry_after_ms", error.retryAfter.ms }, { "config_version", static_cast<int64_t>(it.snapshot->version.value) } });
-    it.exchange->gone = nullptr;
-    it.exchange->drained = nullptr;
+    it.exchange->onGone = nullptr;
+    it.exchange->onDrained = nullptr;
     reply(*it.exchange, error, notRun, policy::stopsRetriesAbove(error.code));
     forget(it);
 }
--- a/src/appletally/node/ingress_reply.cpp
+++ b/src/appletally/node/ingress_reply.cpp
@@ -24,7 +24,7 @@
     }
     if (stopsRetries)
         headers.push_back({ "Appletally-Refused-Below", "1" });
-    exchange.reply(base::info(error.code).httpStatus, headers, http::refusalBody(error, notRun));
+    exchange.reply(base::info(error.code).httpStatus, headers, http::errorBody(error, notRun));
 }
 
 std::vector<http::HeaderField> answerHeaders(const http::AnswerHead& head)
--- a/src/appletally/node/ingress_request.cpp
+++ b/src/appletally/node/ingress_request.cpp
@@ -143,8 +143,8 @@
         auto* self = static_cast<Active*>(arg);
         self->ingress->onHedgeTimer(*self);
     });
-    exchange.gone = [this, &it] { leave(it); };
-    exchange.drained = [this, &it] { onDrained(it); };
+    exchange.onGone = [this, &it] { leave(it); };
+    exchange.onDrained = [this, &it] { onDrained(it); };
     m_calls[it.id] = std::move(made);
     return it;
 }
--- a/src/appletally/node/node.cpp
+++ b/src/appletally/node/node.cpp
@@ -175,7 +175,7 @@
     if (!done && stopping < m_settings.stopBound)
         return;
     if (!done)
-        base::logEvent(Event::StopBoundReached, "requests still ran after " + std::to_string(m_settings.stopBound.ms) + " ms");
+        base::logEvent(Event::GracefulShutdownTimedOut, "requests still ran after " + std::to_string(m_settings.stopBound.ms) + " ms");
     const auto stopped = std::move(m_stopped);
     m_stopped = nullptr;
     stopped();
--- a/src/appletally/node/owner.cpp
+++ b/src/appletally/node/owner.cpp
@@ -68,7 +68,7 @@
     if (state() != EndpointState::Ready || m_upstream->service != call.service)
         return base::fail(Code::NoUpstream, "no ready upstream of " + call.service.text + " here");
     if (const auto it = m_verdicts.find(m_upstream->version); it != m_verdicts.end() && !policy::mayRun(it->second))
-        return base::fail(Code::VersionTakenBack, it->second.why);
+        return base::fail(Code::VersionRolledBack, it->second.why);
     return {};
 }
 
@@ -191,7 +191,7 @@
     const bool before = found->second.stopped;
     policy::onLocalAnswer(found->second, { it.call.route, how == RunEnd::Failed, Duration { it.ranMicros / 1000 }, it.busy, it.call.old }, base::steadyNow());
     if (!before && found->second.stopped) {
-        base::logEvent(base::Event::VersionStoppedHere, it.version.text + ": " + found->second.why);
+        base::logEvent(base::Event::VersionStoppedLocally, it.version.text + ": " + found->second.why);
         m_events.changed();
     }
 }
@@ -233,8 +233,8 @@
     const http::ClientCounts& connections = m_client->counts();
     count("appletally_upstream_connections_total", "kind=\"new\"", connections.dialed);
     count("appletally_upstream_connections_total", "kind=\"kept\"", connections.reused);
-    count("appletally_upstream_connections_total", "kind=\"stray_answer\"", connections.strayAnswers);
-    count("appletally_upstream_connections_total", "kind=\"stray_bytes\"", connections.strayBytes);
+    count("appletally_upstream_connections_total", "kind=\"stray_answer\"", connections.unsolicitedAnswers);
+    count("appletally_upstream_connections_total", "kind=\"stray_bytes\"", connections.unsolicitedBytes);
 }
 
 nlohmann::json Owner::toJson() const
--- a/src/appletally/node/owner_links.cpp
+++ b/src/appletally/node/owner_links.cpp
@@ -73,7 +73,7 @@
 
 void OwnerLinks::onDown(Accepted& it, const base::Error& error)
 {
-    const bool ordinary = error.code == Code::PeerGone || error.code == Code::PeerSilent;
+    const bool ordinary = error.code == Code::PeerGone || error.code == Code::PeerTimedOut;
     ++(ordinary ? m_counts.lost : m_counts.refused);
     base::logEvent(ordinary ? base::Event::LinkDown : base::Event::LinkRefused, it.link->peer().text + ": " + error.text);
     const std::map<uint64_t, OwnerCallId> calls = std::move(it.calls);
--- a/src/appletally/node/owner_run.cpp
+++ b/src/appletally/node/owner_run.cpp
@@ -43,7 +43,7 @@
 // anything but the way here.
 static base::Error toError(const policy::Refusal& it)
 {
-    return base::fail(it.code == Code::Overloaded ? Code::NoRoom : it.code, "no room in time", it.retryAfter);
+    return base::fail(it.code == Code::Overloaded ? Code::NoFreeSlot : it.code, "no room in time", it.retryAfter);
 }
 
 void Owner::admit(Running& it)
@@ -80,7 +80,7 @@
     if (!m_upstream)
         return leaveSlot(it, base::fail(Code::NoUpstream, "the upstream is gone"));
     // Between the queue and the slot the version may have been stopped; what has not begun is still truly "not run".
-    if (auto error = whyNot(it.call); error && error->code == Code::VersionTakenBack)
+    if (auto error = whyNot(it.call); error && error->code == Code::VersionRolledBack)
         return leaveSlot(it, *error);
     if (m_settings.features.claims && !it.call.idempotent && !it.call.key.empty())
         return claim(it);
@@ -222,9 +222,9 @@
 {
     const bool success = head.status >= 200 && head.status < 300;
     if (success && !names.wholeMark.empty() && !http::findHeader(head.headers, names.wholeMark))
-        return base::fail(Code::UpstreamBroke, "a success without the upstream's mark");
+        return base::fail(Code::InvalidUpstreamAnswer, "a success without the upstream's mark");
     if (!names.codedBodies && http::findHeader(head.headers, "Content-Encoding"))
-        return base::fail(Code::UpstreamBroke, "a body in a content coding that nobody asked for");
+        return base::fail(Code::InvalidUpstreamAnswer, "a body in a content coding that nobody asked for");
     return {};
 }
 
--- a/src/appletally/node/peers.cpp
+++ b/src/appletally/node/peers.cpp
@@ -195,7 +195,7 @@
         return;
     CallEnd end;
     if (it->received != message.getBodyBytes())
-        end.error = base::fail(Code::AnswerCut, "a part of the answer is missing");
+        end.error = base::fail(Code::AnswerTruncated, "a part of the answer is missing");
     if (message.hasLoad())
         end.load = readLoad(message.getLoad());
     end.runMicros = static_cast<int64_t>(message.getRunMicros());
--- a/src/appletally/node/settings.cpp
+++ b/src/appletally/node/settings.cpp
@@ -33,11 +33,11 @@
 
 static void readLimits(base::JsonReader reader, http::ListenerLimits& out)
 {
-    out.mostHeaderBytes = static_cast<size_t>(reader.integer("header_bytes", 1024, 1024 * 1024, static_cast<int64_t>(out.mostHeaderBytes)));
-    out.mostConnections = static_cast<size_t>(reader.integer("connections", 1, 100000, static_cast<int64_t>(out.mostConnections)));
-    out.receiveTime = reader.duration("receive_ms", Duration { 100 }, Duration { 600000 }, out.receiveTime);
-    out.idleTime = reader.duration("idle_ms", Duration { 100 }, Duration { 3600000 }, out.idleTime);
-    out.stalledTime = reader.duration("stalled_ms", Duration { 100 }, Duration { 600000 }, out.stalledTime);
+    out.maxHeaderBytes = static_cast<size_t>(reader.integer("header_bytes", 1024, 1024 * 1024, static_cast<int64_t>(out.maxHeaderBytes)));
+    out.maxConnections = static_cast<size_t>(reader.integer("connections", 1, 100000, static_cast<int64_t>(out.maxConnections)));
+    out.receiveTimeout = reader.duration("receive_ms", Duration { 100 }, Duration { 600000 }, out.receiveTimeout);
+    out.idleTimeout = reader.duration("idle_ms", Duration { 100 }, Duration { 3600000 }, out.idleTimeout);
+    out.stallTimeout = reader.duration("stalled_ms", Duration { 100 }, Duration { 600000 }, out.stallTimeout);
     reader.finish();
 }
 
--- a/src/appletally/policy/local_verdict.h
+++ b/src/appletally/policy/local_verdict.h
@@ -3,7 +3,7 @@
 // Load pattern: a version that is broken from one moment to the next. Until reports have reached control, a decision has
 // been agreed and a new configuration is in force, some hundred milliseconds pass, and much longer while control is cut
 // off; every command in that time would be lost. The node beside the upstream sees each answer first. After a few gross
-// failures it refuses further work for this version with Code::VersionTakenBack, which is truly "not run", so that the
+// failures it refuses further work for this version with Code::VersionRolledBack, which is truly "not run", so that the
 // caller's node sends the request to the old version. It only judges what is gross; fine differences are control's.
 //
 // A dependency that fails old and new alike must not stop the new one: callers' nodes see both versions and may pass on
@@ -76,7 +76,7 @@
 
 void onLocalAnswer(LocalVerdict&, const LocalAnswer&, base::Time now);
 
-// False: refuse at once with Code::VersionTakenBack, before the upstream gets a byte.
+// False: refuse at once with Code::VersionRolledBack, before the upstream gets a byte.
 bool mayRun(const LocalVerdict&);
 
 // What to report; counters only grow. Send at most every config::Pace::report, and at once after a stop.
--- a/src/appletally/policy/retry.cpp
+++ b/src/appletally/policy/retry.cpp
@@ -31,18 +31,18 @@
         switch (code) {
         case base::Code::Draining:
         case base::Code::NotReady:
-        case base::Code::VersionTakenBack:
+        case base::Code::VersionRolledBack:
         case base::Code::NoUpstream: // there, or the link there was never up
             return Kind::Moved;
         case base::Code::Overloaded:
             return Kind::Full;
-        case base::Code::NoRoom:
+        case base::Code::NoFreeSlot:
             return Kind::NoRoom;
         case base::Code::OutcomeUnknown:
-        case base::Code::AnswerCut:
-        case base::Code::UpstreamBroke:
+        case base::Code::AnswerTruncated:
+        case base::Code::InvalidUpstreamAnswer:
         case base::Code::PeerGone:
-        case base::Code::PeerSilent:
+        case base::Code::PeerTimedOut:
             return Kind::Broken;
         default:
             return Kind::Final;
--- a/src/appletally/policy/routing.h
+++ b/src/appletally/policy/routing.h
@@ -89,7 +89,7 @@
 struct PickRequest {
     base::RouteName route;
     std::span<const base::HostId> excluded; // those that a retry or hedge has tried
-    std::optional<base::UpstreamVersion> only; // a retry after VersionTakenBack asks for the old version
+    std::optional<base::UpstreamVersion> only; // a retry after VersionRolledBack asks for the old version
     bool mayProbe = true; // false for requests that can't be repeated: no use trying them on an ejected upstream
     std::optional<base::Duration> within {}; // an answer after this is worth less to the caller, or nothing
 };
--- a/tests/config_endpoints_test.cpp
+++ b/tests/config_endpoints_test.cpp
@@ -134,7 +134,7 @@
     const EndpointsDelta second = changesSince(registry, mirror.cursor, &onlyA, 3);
     CHECK((!second.whole && !second.more && second.endpoints.size() == 2));
     put(registry, endpoint(4, 2, EndpointState::Ready, "b"), 1, { 0 });
-    CHECK(applyEndpoints(mirror, changesSince(registry, second.to, &onlyA, 3), { 0 }).error().code == Code::DeltaDoesNotFit);
+    CHECK(applyEndpoints(mirror, changesSince(registry, second.to, &onlyA, 3), { 0 }).error().code == Code::DeltaMismatch);
     CHECK(applyEndpoints(mirror, second, { 0 }));
     const EndpointsDelta moved = changesSince(registry, mirror.cursor, &onlyA, 3);
     REQUIRE(moved.endpoints.size() == 1);
--- a/tests/config_state_test.cpp
+++ b/tests/config_state_test.cpp
@@ -231,7 +231,7 @@
     Applied node;
     CHECK_FALSE(raiseFloor(node, { 2 }));
     CHECK(applySnapshot(node, two).value());
-    CHECK(applyDelta(node, toFour).error().code == Code::DeltaDoesNotFit);
+    CHECK(applyDelta(node, toFour).error().code == Code::DeltaMismatch);
     CHECK(applyDelta(node, toThree).value());
     CHECK(applyDelta(node, toThree).error().code == Code::VersionTooOld);
     CHECK(applyDelta(node, toFour).value());
@@ -239,7 +239,7 @@
     CHECK(*node.inForce == four);
     Delta damaged = difference(three, four);
     damaged.services[0].slots = 99;
-    CHECK(patch(three, damaged).error().code == Code::DeltaDoesNotFit);
+    CHECK(patch(three, damaged).error().code == Code::DeltaMismatch);
     CHECK(decodeDelta("{}").error().code == Code::MessageMalformed);
 }
 
--- a/tests/control_gate_test.cpp
+++ b/tests/control_gate_test.cpp
@@ -176,7 +176,7 @@
     auto over = whenOver(*linked.value());
     forgotten = true;
     const base::Time began = base::steadyNow();
-    CHECK(over.wait(it.io.waitScope).code == base::Code::PeerSilent);
+    CHECK(over.wait(it.io.waitScope).code == base::Code::PeerTimedOut);
     CHECK(base::steadyNow() - began < rpcSilenceLimit + rpcBeatEvery * 3);
     while (it.port.counters().silent == 0)
         it.io.provider->getTimer().afterDelay(10 * kj::MILLISECONDS).wait(it.io.waitScope);
--- a/tests/edge_test.cpp
+++ b/tests/edge_test.cpp
@@ -87,7 +87,7 @@
 {
     // A caller on a dying radio link, or one that means harm, keeps a request open for ever. Enough of them and no
     // connection is left for anybody else.
-    Edge edge({ .receiveTime = { 300 } });
+    Edge edge({ .receiveTimeout = { 300 } });
     const std::string answer = edge.raw(edge.node->addresses.callers, "GET /berths/7 HTTP/1.1\r\nHo");
     CHECK(answer.find("Appletally-Result: 415") != std::string::npos);
     edge.checkOthersServed();
@@ -119,7 +119,7 @@
 {
     // A billing clerk's laptop goes to sleep while an archive streams. The stream must not pile up in the node, and
     // must not hold one of the few slots until somebody opens the laptop.
-    Edge edge({ .stalledTime = { 300 } });
+    Edge edge({ .stallTimeout = { 300 } });
     edge.upstream->bodyBytes = 32 * 1024 * 1024;
     auto* raw = bufferevent_socket_new(edge.mesh.loop(), -1, BEV_OPT_CLOSE_ON_FREE);
     bufferevent_enable(raw, EV_WRITE); // and never reads
--- a/tests/formation_test.cpp
+++ b/tests/formation_test.cpp
@@ -232,9 +232,9 @@
         failures += base::mayWrite(budget, base::Event::RequestRefused, { n }) ? 1 : 0;
     }
     CHECK(failures == budget.failuresPerSecond);
-    const auto leftOut = base::takeLeftOut(budget, { 1001 });
+    const auto leftOut = base::takeDropped(budget, { 1001 });
     CHECK(leftOut.at(base::Event::RequestRefused) == 1000 - static_cast<uint64_t>(failures));
-    CHECK(base::takeLeftOut(budget, { 1002 }).empty());
+    CHECK(base::takeDropped(budget, { 1002 }).empty());
     CHECK(base::mayWrite(budget, base::Event::RequestRefused, { 1003 }));
 }
 
--- a/tests/http_listener_test.cpp
+++ b/tests/http_listener_test.cpp
@@ -32,7 +32,7 @@
             targets.push_back(it.request().target);
             bodies.push_back(it.request().body);
             waiting.push_back(&it);
-            it.gone = [this, &it] {
+            it.onGone = [this, &it] {
                 ++gone;
                 std::erase(waiting, &it);
             };
@@ -55,7 +55,7 @@
         REQUIRE(it != waiting.end());
         http::CallerExchange* exchange = *it;
         waiting.erase(it);
-        exchange->gone = nullptr;
+        exchange->onGone = nullptr;
         exchange->reply(200, {}, "answer to " + target);
     }
 
@@ -263,7 +263,7 @@
     REQUIRE(port.run([&] { return port.waiting.size() == 1; }));
     port.answer("/1");
     http::ListenerLimits limits;
-    limits.mostHeaderBytes = 200;
+    limits.maxHeaderBytes = 200;
     port.listener->setLimits(limits);
     caller.send("GET /2 HTTP/1.1\r\nHost: a\r\nX: " + std::string(300, 'x') + "\r\n\r\n");
     REQUIRE(port.run([&] { return caller.closed; }));
@@ -273,7 +273,7 @@
 
 TEST_CASE("a head that takes too long is answered and closed, an idle connection is closed", "[listener]")
 {
-    Port port({ .headerTime = { 100 }, .idleTime = { 100 } });
+    Port port({ .headerTimeout = { 100 }, .idleTimeout = { 100 } });
     Caller slow(port);
     slow.send("GET /1 HTTP/1.1\r\n");
     Caller idle(port);
--- a/tests/load_model.h
+++ b/tests/load_model.h
@@ -365,7 +365,7 @@
         settle(id, fails ? AnswerKind::Failed : AnswerKind::Good);
         if (!fails)
             finish(it.call, Outcome::Good, Duration {});
-        else if (!again(it.call, base::Code::UpstreamBroke, false))
+        else if (!again(it.call, base::Code::InvalidUpstreamAnswer, false))
             finish(it.call, Outcome::Failed, Duration {});
     }
 
--- a/tests/retry_test.cpp
+++ b/tests/retry_test.cpp
@@ -69,7 +69,7 @@
 {
     // Dispatch asks the catalogue, that asks for route lists, and so on, seven deep; the last one is full or fails. With
     // three tries in each layer one click asks it 2187 times, and it never gets room to recover.
-    const Code code = GENERATE(Code::Overloaded, Code::UpstreamBroke);
+    const Code code = GENERATE(Code::Overloaded, Code::InvalidUpstreamAnswer);
     const auto asked = [&](Layers it) {
         it.bottom = code;
         for (int n = 0; n < 200; ++n)
@@ -178,18 +178,18 @@
     };
     const Row rows[] = {
         { Code::OutcomeUnknown, 1, false, false, true },
-        { Code::AnswerCut, 1, false, false, true },
-        { Code::UpstreamBroke, 2, false, false, true },
-        { Code::UpstreamBroke, 3, false, false, false },
+        { Code::AnswerTruncated, 1, false, false, true },
+        { Code::InvalidUpstreamAnswer, 2, false, false, true },
+        { Code::InvalidUpstreamAnswer, 3, false, false, false },
         { Code::PeerGone, 1, false, false, true },
         { Code::Overloaded, 1, false, true, true },
         { Code::Overloaded, 2, false, false, false },
         { Code::Overloaded, 1, true, false, false },
-        { Code::NoRoom, 2, false, true, true },
-        { Code::NoRoom, 3, false, false, false },
-        { Code::NoRoom, 1, true, false, false },
+        { Code::NoFreeSlot, 2, false, true, true },
+        { Code::NoFreeSlot, 3, false, false, false },
+        { Code::NoFreeSlot, 1, true, false, false },
         { Code::Draining, 2, false, true, true },
-        { Code::VersionTakenBack, 1, false, true, true },
+        { Code::VersionRolledBack, 1, false, true, true },
         { Code::DeadlineTooNear, 1, false, false, false },
         { Code::DeadlinePassed, 1, false, false, false },
         { Code::NoUpstream, 2, false, true, true },
@@ -215,9 +215,9 @@
     RetryBudget spent { {}, 0 };
     const RetryDecision decision = mayRetry(spent, failedTry(Code::OutcomeUnknown, true), Time { 0 }, 1);
     CHECK_FALSE(decision.retry);
-    CHECK(decision.code == Code::OutcomeUnknown); // it may have run: RetryBudgetSpent would say that it did not
+    CHECK(decision.code == Code::OutcomeUnknown); // it may have run: RetryBudgetExhausted would say that it did not
     CHECK(mayRetry(spent, failedTry(Code::Draining, false), Time { 0 }, 1).retry); // costs nobody anything
-    CHECK(mayRetry(spent, failedTry(Code::NoRoom, false), Time { 0 }, 1).retry); // no upstream heard of it
+    CHECK(mayRetry(spent, failedTry(Code::NoFreeSlot, false), Time { 0 }, 1).retry); // no upstream heard of it
     CHECK_FALSE(mayRetry(spent, failedTry(Code::Overloaded, false), Time { 0 }, 1).retry); // one did
 }
 
--- a/tests/upstream_client_test.cpp
+++ b/tests/upstream_client_test.cpp
@@ -134,7 +134,7 @@
     CHECK(ask.whole());
     CHECK(ask.body == "right");
     CHECK(client.idleConnections() == 0); // who knows what else is on its way there
-    CHECK(client.counts().strayAnswers == 1);
+    CHECK(client.counts().unsolicitedAnswers == 1);
 }
 
 TEST_CASE("an answer without an id is not taken", "[upstream-client]")
@@ -145,7 +145,7 @@
     REQUIRE(script.run([&] { return script.got(0, "GET /a"); }));
     script.say(0, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     REQUIRE(script.run([&] { return ask.end.has_value(); }));
-    CHECK(ask.code() == base::Code::UpstreamBroke);
+    CHECK(ask.code() == base::Code::InvalidUpstreamAnswer);
     CHECK(ask.status == 0);
 }
 
@@ -168,7 +168,7 @@
     CHECK(client.idleConnections() == 1);
     script.say(1, answer("b", "late"));
     REQUIRE(script.run([&] { return client.idleConnections() == 0; }));
-    CHECK(client.counts().strayBytes == 2);
+    CHECK(client.counts().unsolicitedBytes == 2);
 }
 
 TEST_CASE("an answer without a length ends with its connection, but not with a reset", "[upstream-client]")
@@ -192,7 +192,7 @@
     REQUIRE(script.run([&] { return !cut.body.empty(); }));
     script.close(1, true);
     REQUIRE(script.run([&] { return cut.end.has_value(); }));
-    CHECK(cut.code() == base::Code::AnswerCut);
+    CHECK(cut.code() == base::Code::AnswerTruncated);
 }
 
 TEST_CASE("an answer cut before its length, and a connection closed without one, are told apart from a refusal", "[upstream-client]")
@@ -205,7 +205,7 @@
     script.run([&] { return !cut.body.empty(); });
     script.close(0, false);
     REQUIRE(script.run([&] { return cut.end.has_value(); }));
-    CHECK(cut.code() == base::Code::AnswerCut);
+    CHECK(cut.code() == base::Code::AnswerTruncated);
 
     Ask silent(client, "b");
     REQUIRE(script.run([&] { return script.got(1, "GET /b"); }));
