--- a/src/appletally/base/events.h
+++ b/src/appletally/base/events.h
@@ -1,4 +1,4 @@
-// The numbered events that a process may log. Numbers are never reused; hundreds group by concern.
+// The numbered events that a process may log. Numbers are never reused; each hundred is one subject.
 #pragma once
 
 #include <cstdint>
@@ -8,14 +8,14 @@
 namespace appletally::base {
 
 enum class Event : uint16_t {
-    // 1xx: a process's life
+    // 1xx: process lifecycle
     Started = 101,
     Stopping = 102,
     Stopped = 103,
     SettingsRefused = 104,
-    StopBoundReached = 105,
+    GracefulShutdownTimedOut = 105,
     SettingsReloaded = 106,
-    LogLinesLeftOut = 107,
+    LogLinesDropped = 107,
 
     // 2xx: configuration
     VersionApplied = 201,
@@ -24,18 +24,18 @@
     VersionReleased = 204,
     BootVersionProven = 205,
     SubmitRefused = 206,
-    AnsweredBeforeAll = 207,
+    AcknowledgedBeforeAll = 207,
 
     // 3xx: replicated log
     BecameLeader = 301,
     LostLeadership = 302,
     DiskStopped = 303,
-    LogTailCut = 304,
+    LogTailTruncated = 304,
     LogFileDamaged = 305,
     ReplicaAdded = 306,
     ReplicaRemoved = 307,
     SnapshotTaken = 308,
-    DiskOpenedAgain = 309,
+    DiskReopened = 309,
 
     // 4xx: endpoints and links
     UpstreamAnnounced = 401,
@@ -45,7 +45,7 @@
     LinkRefused = 405,
     ControlLost = 406,
     ControlFound = 407,
-    SourceTaken = 408,
+    SourceSelected = 408,
 
     // 5xx: requests
     BadRequest = 501,
@@ -55,7 +55,7 @@
     RequestSent = 511,
     RequestAnswered = 512,
     RequestRefused = 513,
-    RequestTriedAgain = 514,
+    RequestRetried = 514,
     RequestCancelled = 515,
     CallQueued = 521,
     CallRefused = 522,
@@ -67,9 +67,9 @@
     RolloutStarted = 601,
     RolloutShareRaised = 602,
     RolloutCompleted = 603,
-    RolloutTakenBack = 604,
+    RolloutRolledBack = 604,
     RolloutStopped = 605,
-    VersionStoppedHere = 606,
+    VersionStoppedLocally = 606,
     RolloutHeld = 607,
 
     // 7xx: claims
@@ -81,7 +81,7 @@
     Event event;
     std::string_view name;
     std::string_view meaning; // one line for docs/EVENTS.md
-    std::string_view action; // what the one on call does; "none" where nothing
+    std::string_view action; // what the operator on call does; "none" if nothing
     int severity; // 0 info, 1 warning, 2 error
 };
 
--- a/src/appletally/config/delta.cpp
+++ b/src/appletally/config/delta.cpp
@@ -163,7 +163,7 @@
     if (delta.to <= snapshot.version)
         return base::fail(Code::VersionTooOld, "delta to version " + std::to_string(delta.to.value) + " rejected: version " + std::to_string(snapshot.version.value) + " is already held");
     if (delta.from != snapshot.version)
-        return base::fail(Code::DeltaDoesNotFit, "delta from version " + std::to_string(delta.from.value) + " does not match: version " + std::to_string(snapshot.version.value) + " is held");
+        return base::fail(Code::DeltaMismatch, "delta from version " + std::to_string(delta.from.value) + " does not match: version " + std::to_string(snapshot.version.value) + " is held");
     Snapshot out = snapshot;
     out.version = delta.to;
     put(out.services, delta.services, delta.removedServices, &Service::name);
@@ -174,7 +174,7 @@
     out.callerLimits = delta.callerLimits.value_or(out.callerLimits);
     out.sum = sumAfter(snapshot, out);
     if (out.sum.value != delta.resultHash)
-        return base::fail(Code::DeltaDoesNotFit, "the result of the delta to version " + std::to_string(delta.to.value) + " has a different hash");
+        return base::fail(Code::DeltaMismatch, "the result of the delta to version " + std::to_string(delta.to.value) + " has a different hash");
     return out;
 }
 
--- a/src/appletally/config/endpoint_mirror.cpp
+++ b/src/appletally/config/endpoint_mirror.cpp
@@ -22,7 +22,7 @@
         if (sameRegistry && position(delta.to) <= position(mirror.cursor))
             return base::fail(Code::VersionTooOld, "endpoints already read up to change " + std::to_string(mirror.cursor.change));
         if (!delta.restartsList && !(delta.from == mirror.cursor))
-            return base::fail(Code::DeltaDoesNotFit, "endpoints from change " + std::to_string(delta.from.change) + " do not match: change " + std::to_string(mirror.cursor.change) + " was read last");
+            return base::fail(Code::DeltaMismatch, "endpoints from change " + std::to_string(delta.from.change) + " do not match: change " + std::to_string(mirror.cursor.change) + " was read last");
         return base::success();
     }
 
--- a/src/appletally/control/distributor.cpp
+++ b/src/appletally/control/distributor.cpp
@@ -82,7 +82,7 @@
 {
     if (m_subscribers.size() >= m_limits.maxSubscribers) {
         ++m_counters.rejectedSubscriptions;
-        return base::fail(base::Code::ComeBackLater, "this source has its maximum number of subscribers", fullRetryAfter);
+        return base::fail(base::Code::RetryLater, "this source has its maximum number of subscribers", fullRetryAfter);
     }
     if (m_isolated && !promised) {
         ++m_counters.rejectedSubscriptions;
@@ -91,7 +91,7 @@
     const policy::ReconnectDecision entry = policy::admitReconnect(m_limits.starts, promised, base::steadyNow(), inner::randomNumber());
     if (!entry.admitted) {
         ++m_counters.rejectedSubscriptions;
-        return base::fail(base::Code::ComeBackLater, "more subscribers are starting than this source admits at a time", entry.retryAfter);
+        return base::fail(base::Code::RetryLater, "more subscribers are starting than this source admits at a time", entry.retryAfter);
     }
     ++m_counters.subscribed;
     ++m_startingCount;
--- a/src/appletally/control/documents.cpp
+++ b/src/appletally/control/documents.cpp
@@ -128,7 +128,7 @@
     std::string names;
     for (size_t n = 0; n < std::min(lacking.size(), maxLoggedNodes); ++n)
         names += " " + lacking[n].text;
-    base::logEvent(base::Event::AnsweredBeforeAll, "version " + std::to_string(version.value) + ": " + std::to_string(lacking.size()) + " of " + std::to_string(m_convergence.nodes.size()) + " nodes have not confirmed it within " + std::to_string(appliedTimeout.ms) + " ms:" + names);
+    base::logEvent(base::Event::AcknowledgedBeforeAll, "version " + std::to_string(version.value) + ": " + std::to_string(lacking.size()) + " of " + std::to_string(m_convergence.nodes.size()) + " nodes have not confirmed it within " + std::to_string(appliedTimeout.ms) + " ms:" + names);
 }
 
 void ControlProcess::wakeAppliedWaiters()
--- a/src/appletally/control/housekeeping.cpp
+++ b/src/appletally/control/housekeeping.cpp
@@ -139,7 +139,7 @@
         consensus::closeFolder(opened.value());
         return;
     }
-    base::logEvent(base::Event::DiskOpenedAgain, "the replica starts from log index " + std::to_string(opened.value().state.commit.value));
+    base::logEvent(base::Event::DiskReopened, "the replica starts from log index " + std::to_string(opened.value().state.commit.value));
     m_state = {};
     m_appliedIndex = {};
     m_unreleased.clear();
--- a/src/appletally/control/run.cpp
+++ b/src/appletally/control/run.cpp
@@ -58,7 +58,7 @@
             return opened.error();
         disk = std::move(opened.value());
         if (disk->truncatedBytes != 0)
-            base::logEvent(base::Event::LogTailCut, std::to_string(disk->truncatedBytes) + " bytes of an incomplete write");
+            base::logEvent(base::Event::LogTailTruncated, std::to_string(disk->truncatedBytes) + " bytes of an incomplete write");
     }
     ControlProcess process(io, settings, std::move(disk));
     const auto address = process.listen();
@@ -84,7 +84,7 @@
                                  .then([] { return true; })
                                  .exclusiveJoin(timer.afterDelay(settings.shutdownTimeout.ms * kj::MILLISECONDS).then([] { return false; }))
                                  .wait(io.waitScope);
-    base::logEvent(changesDone ? base::Event::Stopped : base::Event::StopBoundReached, changesDone ? "no changes pending" : "changes were still pending");
+    base::logEvent(changesDone ? base::Event::Stopped : base::Event::GracefulShutdownTimedOut, changesDone ? "no changes pending" : "changes were still pending");
     return base::success();
 }
 
--- a/src/appletally/control/sessions.cpp
+++ b/src/appletally/control/sessions.cpp
@@ -33,7 +33,7 @@
             // A process with an empty disk starts sooner than the others and attracts every node that waits for a source.
             // Without this check they would stay until it is a member and has caught up, although others could serve them.
             if (!m_process.knowsMembers()) {
-                inner::write(context.getResults().initFailure(), base::fail(base::Code::ComeBackLater, "this source is not a member of the log yet", notMemberRetryAfter));
+                inner::write(context.getResults().initFailure(), base::fail(base::Code::RetryLater, "this source is not a member of the log yet", notMemberRetryAfter));
                 return kj::READY_NOW;
             }
             auto subscribed = m_process.distributor().subscribe(m_host, { params.getHave() }, inner::read(params.getCursor()), params.getFeed(), params.getPromised());
--- a/src/appletally/node/early_requests.cpp
+++ b/src/appletally/node/early_requests.cpp
@@ -30,7 +30,7 @@
     const base::Time now = base::steadyNow();
     const base::Duration within = std::min(base::Duration { timeLeft.ms / timeLeftDivisor }, maxQueueTime);
     m_queue.push_back({ &exchange, now, now + within });
-    exchange.gone = [this, gone = &exchange] { std::erase_if(m_queue, [&](const QueuedRequest& it) { return it.exchange == gone; }); };
+    exchange.onGone = [this, gone = &exchange] { std::erase_if(m_queue, [&](const QueuedRequest& it) { return it.exchange == gone; }); };
     arm();
     return true;
 }
@@ -45,7 +45,7 @@
 void EarlyRequests::serveAll()
 {
     for (const QueuedRequest& it : std::exchange(m_queue, {})) {
-        it.exchange->gone = nullptr;
+        it.exchange->onGone = nullptr;
         m_serve(*it.exchange, it.arrivedAt);
     }
 }
@@ -53,7 +53,7 @@
 void EarlyRequests::refuseAll()
 {
     for (const QueuedRequest& it : std::exchange(m_queue, {})) {
-        it.exchange->gone = nullptr;
+        it.exchange->onGone = nullptr;
         m_refuse(*it.exchange);
     }
 }
@@ -68,7 +68,7 @@
     }
     std::erase_if(m_queue, [&](const QueuedRequest& it) { return it.expiresAt <= now; });
     for (const QueuedRequest& it : expired) {
-        it.exchange->gone = nullptr;
+        it.exchange->onGone = nullptr;
         m_refuse(*it.exchange);
     }
     arm();
--- a/src/appletally/node/ingress.h
+++ b/src/appletally/node/ingress.h
@@ -65,7 +65,7 @@
     void drain(); // answers close their connections from now on, so that callers move to another node
     void stop(); // accepts no new connections; active requests continue
     void answerPendingRequests(); // the process is about to exit: sends a final answer to every request that waits for an upstream
-    bool idle() const { return m_calls.empty() && m_listener.quiet(); } // after stop()
+    bool idle() const { return m_calls.empty() && m_listener.allConnectionsClosed(); } // after stop()
     nlohmann::json toJson() const;
     void writeMetrics(base::MetricsText&) const;
 
--- a/src/appletally/node/ingress_answer.cpp
+++ b/src/appletally/node/ingress_answer.cpp
@@ -135,9 +135,9 @@
 {
     std::optional<base::Error> error = end.error;
     if (!error && !attempt.head)
-        error = base::fail(Code::AnswerCut, "the answer ended without a head");
+        error = base::fail(Code::AnswerTruncated, "the answer ended without a head");
     if (!error && attempt.head->length >= 0 && it.call.method != "HEAD" && attempt.bodyBytes != static_cast<uint64_t>(attempt.head->length))
-        error = base::fail(Code::AnswerCut, "the length of the body differs from its Content-Length");
+        error = base::fail(Code::AnswerTruncated, "the length of the body differs from its Content-Length");
     const auto ending = detachAttempt(it, attempt);
     if (!error || !base::info(error->code).notRun)
         updateVersionView(it, *ending, error || ending->head->status >= 500, end.runMicros);
@@ -147,7 +147,7 @@
     }
     recordOutcome(it, *ending, kindOf(*error), end);
     it.mayHaveRun |= !base::info(error->code).notRun;
-    if (error->code == Code::VersionTakenBack)
+    if (error->code == Code::VersionRolledBack)
         stopVersion(it, ending->pick);
     if (it.activeAttempts.empty())
         onFailedAttempt(it, *error); // otherwise the other attempt decides
@@ -171,8 +171,8 @@
     base::logRequest(base::Event::RequestAnswered, it.name,
         { { "route", it.route->name.text }, { "upstream", attempt.pick.host.text }, { "status", attempt.head->status }, { "took_ms", (base::steadyNow() - it.startedAt).ms }, { "tries", it.attemptCount } });
     if (it.streaming) {
-        it.exchange->gone = nullptr;
-        it.exchange->drained = nullptr;
+        it.exchange->onGone = nullptr;
+        it.exchange->onDrained = nullptr;
         it.exchange->endStream();
         return removeRequest(it);
     }
@@ -191,8 +191,8 @@
 
 void Ingress::replyBuffered(ActiveRequest& it, const http::AnswerHead& head, const std::string& body)
 {
-    it.exchange->gone = nullptr;
-    it.exchange->drained = nullptr;
+    it.exchange->onGone = nullptr;
+    it.exchange->onDrained = nullptr;
     it.exchange->reply(head.status, answerHeaders(head), body);
     removeRequest(it);
 }
@@ -242,7 +242,7 @@
         return failRequest(it, last);
     }
     ++m_counts.retried;
-    base::logRequest(base::Event::RequestTriedAgain, it.name,
+    base::logRequest(base::Event::RequestRetried, it.name,
         { { "code", static_cast<int64_t>(error.code) }, { "why", error.text }, { "tries", it.attemptCount }, { "after_ms", decision.after.ms }, { "budget_thousandths", m_retries[it.call.service].tokens } });
     if (decision.after.ms <= 0)
         return send(it);
@@ -341,8 +341,8 @@
     base::logRequest(notRun ? base::Event::RequestRefused : base::Event::OutcomeLost, it.name,
         { { "route", it.route->name.text }, { "code", static_cast<int64_t>(error.code) }, { "why", error.text }, { "tries", it.attemptCount }, { "took_ms", (base::steadyNow() - it.startedAt).ms },
             { "left_ms", (it.call.deadline - base::steadyNow()).ms }, { "retry_after_ms", error.retryAfter.ms }, { "config_version", static_cast<int64_t>(it.snapshot->version.value) } });
-    it.exchange->gone = nullptr;
-    it.exchange->drained = nullptr;
+    it.exchange->onGone = nullptr;
+    it.exchange->onDrained = nullptr;
     reply(*it.exchange, error, notRun, policy::stopsRetriesAbove(error.code));
     removeRequest(it);
 }
--- a/src/appletally/node/ingress_request.cpp
+++ b/src/appletally/node/ingress_request.cpp
@@ -143,8 +143,8 @@
         auto* self = static_cast<ActiveRequest*>(arg);
         self->ingress->onHedgeTimer(*self);
     });
-    exchange.gone = [this, &it] { onCallerGone(it); };
-    exchange.drained = [this, &it] { onDrained(it); };
+    exchange.onGone = [this, &it] { onCallerGone(it); };
+    exchange.onDrained = [this, &it] { onDrained(it); };
     m_calls[it.id] = std::move(made);
     return it;
 }
--- a/src/appletally/node/node.cpp
+++ b/src/appletally/node/node.cpp
@@ -176,7 +176,7 @@
     if (!done && stopping < m_settings.gracefulShutdownTimeout)
         return;
     if (!done)
-        base::logEvent(Event::StopBoundReached, "requests were still active after " + std::to_string(m_settings.gracefulShutdownTimeout.ms) + " ms");
+        base::logEvent(Event::GracefulShutdownTimedOut, "requests were still active after " + std::to_string(m_settings.gracefulShutdownTimeout.ms) + " ms");
     const auto stopped = std::move(m_stopped);
     m_stopped = nullptr;
     stopped();
--- a/src/appletally/node/owner_run.cpp
+++ b/src/appletally/node/owner_run.cpp
@@ -43,7 +43,7 @@
 // cost nothing but the transport, so it is reported as NoRoom.
 static base::Error toError(const policy::Refusal& it)
 {
-    return base::fail(it.code == Code::Overloaded ? Code::NoRoom : it.code, "no room in time", it.retryAfter);
+    return base::fail(it.code == Code::Overloaded ? Code::NoFreeSlot : it.code, "no room in time", it.retryAfter);
 }
 
 void Owner::admit(ActiveCall& it)
@@ -80,7 +80,7 @@
     if (!m_upstream)
         return releaseAndRefuse(it, base::fail(Code::NoUpstream, "the upstream is gone"));
     // The version may have been stopped while the call was queued; it has not started, so "not run" is still proven.
-    if (auto error = findRefusal(it.call); error && error->code == Code::VersionTakenBack)
+    if (auto error = findRefusal(it.call); error && error->code == Code::VersionRolledBack)
         return releaseAndRefuse(it, *error);
     if (m_settings.features.claims && !it.call.idempotent && !it.call.key.empty())
         return claim(it);
@@ -222,9 +222,9 @@
 {
     const bool success = head.status >= 200 && head.status < 300;
     if (success && !names.completeAnswerHeader.empty() && !http::findHeader(head.headers, names.completeAnswerHeader))
-        return base::fail(Code::UpstreamBroke, "a success without the header that marks a complete answer");
+        return base::fail(Code::InvalidUpstreamAnswer, "a success without the header that marks a complete answer");
     if (!names.allowContentCoding && http::findHeader(head.headers, "Content-Encoding"))
-        return base::fail(Code::UpstreamBroke, "a body in a content coding that was not requested");
+        return base::fail(Code::InvalidUpstreamAnswer, "a body in a content coding that was not requested");
     return {};
 }
 
--- a/src/appletally/node/peers.cpp
+++ b/src/appletally/node/peers.cpp
@@ -195,7 +195,7 @@
         return;
     CallEnd end;
     if (it->received != message.getBodyBytes())
-        end.error = base::fail(Code::AnswerCut, "the received body length differs from the sent one");
+        end.error = base::fail(Code::AnswerTruncated, "the received body length differs from the sent one");
     if (message.hasLoad())
         end.load = readLoad(message.getLoad());
     end.runMicros = static_cast<int64_t>(message.getRunMicros());
--- a/tests/config_state_test.cpp
+++ b/tests/config_state_test.cpp
@@ -230,7 +230,7 @@
     AppliedConfig node;
     CHECK_FALSE(raiseMinVersion(node, { 2 }));
     CHECK(applySnapshot(node, two).value());
-    CHECK(applyDelta(node, toFour).error().code == Code::DeltaDoesNotFit);
+    CHECK(applyDelta(node, toFour).error().code == Code::DeltaMismatch);
     CHECK(applyDelta(node, toThree).value());
     CHECK(applyDelta(node, toThree).error().code == Code::VersionTooOld);
     CHECK(applyDelta(node, toFour).value());
@@ -238,7 +238,7 @@
     CHECK(*node.applied == four);
     Delta damaged = difference(three, four);
     damaged.services[0].slots = 99;
-    CHECK(patch(three, damaged).error().code == Code::DeltaDoesNotFit);
+    CHECK(patch(three, damaged).error().code == Code::DeltaMismatch);
     CHECK(decodeDelta("{}").error().code == Code::MessageMalformed);
 }
 
--- a/tests/control_gate_test.cpp
+++ b/tests/control_gate_test.cpp
@@ -177,7 +177,7 @@
     auto over = whenOver(*linked.value());
     dropping = true;
     const base::Time began = base::steadyNow();
-    CHECK(over.wait(it.io.waitScope).code == base::Code::PeerSilent);
+    CHECK(over.wait(it.io.waitScope).code == base::Code::PeerTimedOut);
     CHECK(base::steadyNow() - began < rpcSilenceLimit + rpcBeatEvery * 3);
     while (it.port.counters().silent == 0)
         it.io.provider->getTimer().afterDelay(10 * kj::MILLISECONDS).wait(it.io.waitScope);
--- a/tests/edge_test.cpp
+++ b/tests/edge_test.cpp
@@ -88,7 +88,7 @@
 {
     // A caller on a failing link, or a malicious one, keeps an incomplete request open indefinitely. Enough of them would use
     // up all connections.
-    Edge edge({ .receiveTime = { 300 } });
+    Edge edge({ .receiveTimeout = { 300 } });
     const std::string answer = edge.raw(edge.node->addresses.callers, "GET /berths/7 HTTP/1.1\r\nHo");
     CHECK(answer.find("Appletally-Result: 415") != std::string::npos);
     edge.checkOthersServed();
@@ -120,7 +120,7 @@
 {
     // A client is suspended while a large answer is streamed. The answer must not accumulate in the node's memory, and must
     // not occupy a slot until the client resumes.
-    Edge edge({ .stalledTime = { 300 } });
+    Edge edge({ .stallTimeout = { 300 } });
     edge.upstream->bodyBytes = 32 * 1024 * 1024;
     auto* raw = bufferevent_socket_new(edge.mesh.loop(), -1, BEV_OPT_CLOSE_ON_FREE);
     bufferevent_enable(raw, EV_WRITE); // no EV_READ: the client never reads
--- a/tests/load_model.h
+++ b/tests/load_model.h
@@ -365,7 +365,7 @@
         closeAttempt(id, fails ? AnswerKind::Failed : AnswerKind::Good);
         if (!fails)
             finish(it.call, Outcome::Good, Duration {});
-        else if (!scheduleRetry(it.call, base::Code::UpstreamBroke, false))
+        else if (!scheduleRetry(it.call, base::Code::InvalidUpstreamAnswer, false))
             finish(it.call, Outcome::Failed, Duration {});
     }
 
