--- a/programs/appletally_control.cpp
+++ b/programs/appletally_control.cpp
@@ -1,4 +1,4 @@
-// appletally-control: a voter or relay of the mesh. The work is in control/; this reads the command line.
+// appletally-control: a voter or relay of the mesh. Parses the command line; the implementation is in control/.
 #include "appletally/appletally.h"
 
 #include <iostream>
@@ -17,18 +17,18 @@
 int main(int argc, char** argv)
 {
     try {
-        TCLAP::CmdLine line("Agrees on configuration versions (voter) or passes them on (relay).", ' ', APPLETALLY_VERSION);
+        TCLAP::CmdLine line("Replicates configuration versions (voter) or forwards them (relay).", ' ', APPLETALLY_VERSION);
         line.setExceptionHandling(false);
-        TCLAP::SwitchArg check("", "check", "only check the settings", line);
-        TCLAP::SwitchArg format("", "format", "make the data folder of a new voter, once, and end", line);
-        TCLAP::SwitchArg first("", "first", "with --format: this voter begins the mesh's log; exactly one does", line);
+        TCLAP::SwitchArg check("", "check", "check the settings and exit", line);
+        TCLAP::SwitchArg format("", "format", "create the data folder of a new voter and exit; once for each voter", line);
+        TCLAP::SwitchArg first("", "first", "with --format: this voter starts the log of a new mesh; use it for exactly one voter", line);
         TCLAP::UnlabeledValueArg<std::string> file("settings", "JSON settings file; see docs/OPERATING.md", true, "", "SETTINGS.json", line);
         line.parse(argc, argv);
         const auto settings = control::readControlSettings(file.getValue());
         if (!settings)
             return finish(settings.error());
         if (first.getValue() && !format.getValue())
-            return finish(base::fail(base::Code::BadCommandLine, "--first goes with --format"));
+            return finish(base::fail(base::Code::BadCommandLine, "--first requires --format"));
         if (check.getValue())
             return 0;
         if (format.getValue())
--- a/programs/appletally_node.cpp
+++ b/programs/appletally_node.cpp
@@ -1,4 +1,4 @@
-// appletally-node: the process beside each upstream. All of it is in the library; this reads the command line.
+// appletally-node: the process beside each upstream. Parses the command line; the implementation is in node/.
 #include "appletally/appletally.h"
 
 #include <iostream>
@@ -6,8 +6,8 @@
 
 int main(int argc, char** argv)
 {
-    TCLAP::CmdLine line("The node beside an upstream: takes callers' requests and is the only door to its upstream.", ' ', APPLETALLY_VERSION);
-    TCLAP::SwitchArg check("", "check", "check the settings and end", line);
+    TCLAP::CmdLine line("The node beside an upstream: accepts callers' requests and is the only process that forwards requests to its upstream.", ' ', APPLETALLY_VERSION);
+    TCLAP::SwitchArg check("", "check", "check the settings and exit", line);
     TCLAP::UnlabeledValueArg<std::string> file("settings", "settings file, JSON", true, "", "FILE", line);
     line.setExceptionHandling(false);
     try {
--- a/programs/appletallyctl.cpp
+++ b/programs/appletallyctl.cpp
@@ -1,4 +1,4 @@
-// appletallyctl: the operators' command line. The work is in ctl/; this reads the arguments.
+// appletallyctl: the operators' command-line tool. Parses the arguments; the implementation is in ctl/.
 #include "appletally/appletally.h"
 
 #include <iostream>
@@ -17,18 +17,18 @@
 int main(int argc, char** argv)
 {
     try {
-        TCLAP::CmdLine line("Submits answers, runs rollouts and reads what happened.\n" + ctl::usage(), ' ', APPLETALLY_VERSION);
+        TCLAP::CmdLine line("Submits answers, controls rollouts and shows the state of the mesh.\n" + ctl::usage(), ' ', APPLETALLY_VERSION);
         line.setExceptionHandling(false);
-        TCLAP::SwitchArg check("", "check", "only check the settings", line);
-        TCLAP::SwitchArg json("", "json", "answer in JSON", line);
-        TCLAP::ValueArg<uint64_t> request("", "request", "number of the request, instead of the next one", false, 0, "N", line);
-        TCLAP::ValueArg<uint64_t> base("", "base", "version that the change was made from, instead of the current one", false, 0, "VERSION", line);
+        TCLAP::SwitchArg check("", "check", "check the settings and exit", line);
+        TCLAP::SwitchArg json("", "json", "print JSON", line);
+        TCLAP::ValueArg<uint64_t> request("", "request", "request number; default: the next one", false, 0, "N", line);
+        TCLAP::ValueArg<uint64_t> base("", "base", "version that the change is based on; default: the current one", false, 0, "VERSION", line);
         TCLAP::ValueArg<std::string> from("", "from", "rollout start: the old version", false, "", "VERSION", line);
         TCLAP::ValueArg<std::string> why("", "why", "rollout stop: the reason, for the history", false, "", "TEXT", line);
         TCLAP::UnlabeledValueArg<std::string> file("settings", "JSON settings file; see docs/OPERATING.md", true, "", "SETTINGS.json", line);
         TCLAP::UnlabeledMultiArg<std::string> words("command", "command and its arguments", false, "COMMAND", line);
         line.parse(argc, argv);
-        if (file.getValue() == "explain") { // reads files only, so it works where no control process can be reached
+        if (file.getValue() == "explain") { // reads files only, so it needs no settings and no reachable control process
             std::vector<std::string> all = words.getValue();
             all.insert(all.begin(), file.getValue());
             return finish(ctl::explain(all, json.getValue()));
--- a/src/appletally/ctl/client.cpp
+++ b/src/appletally/ctl/client.cpp
@@ -1,4 +1,4 @@
-// Retries over the voters.
+// Calls voters and retries at the next one on failure.
 #include "appletally/ctl/client.h"
 
 #include "appletally/inner/rpc_wire.h"
@@ -9,23 +9,23 @@
 
 namespace {
 
-    // A voter that is up answers a change within a few milliseconds, one that lost the others after its own 4 s.
-    constexpr base::Duration answerLimit { 6000 };
+    // A healthy voter answers a change within a few milliseconds; one without a quorum reports that after 4 s.
+    constexpr base::Duration answerTimeout { 6000 };
 
-    // After a try that failed at once: short, since the next voter may be well.
-    constexpr base::Duration leastPause { 20 };
+    // Delay after an attempt that failed immediately: short, since the next voter may be healthy.
+    constexpr base::Duration minRetryDelay { 20 };
 
-    // A replica catches up within a second or two here; asking more often tells nobody anything.
-    constexpr base::Duration memberPoll { 100 };
+    // A replica takes a second or two to catch up, so polling more often gives nothing new.
+    constexpr base::Duration memberPollInterval { 100 };
 
-    bool worthRetrying(base::Code code)
+    bool isRetryable(base::Code code)
     {
         using base::Code;
         switch (code) {
         case Code::NotLeader:
         case Code::NoQuorum:
         case Code::OutcomePending:
-        case Code::DiskFull: // of one voter; another may lead
+        case Code::DiskFull: // concerns one voter; another may be the leader
         case Code::DiskFailed:
         case Code::PeerSilent:
         case Code::PeerGone:
@@ -38,15 +38,15 @@
 
     base::Error done() { return { base::Code::Ok, {}, {} }; }
 
-    kj::Promise<base::Error> readJson(inner::rpc::Operator::Client session, const std::string& what, nlohmann::json& out)
+    kj::Promise<base::Error> readJson(inner::rpc::Operator::Client session, const std::string& query, nlohmann::json& out)
     {
-        auto ask = session.readRequest();
-        ask.setWhat(what);
-        return ask.send().then([&out](auto&& answer) {
+        auto request = session.readRequest();
+        request.setWhat(query);
+        return request.send().then([&out](auto&& answer) {
             if (inner::failed(answer.getFailure()))
                 return inner::read(answer.getFailure());
             out = nlohmann::json::parse(inner::text(answer.getJson()), nullptr, false);
-            return out.is_discarded() ? base::fail(base::Code::MessageMalformed, "the answer is no JSON") : done();
+            return out.is_discarded() ? base::fail(base::Code::MessageMalformed, "the answer is not valid JSON") : done();
         });
     }
 
@@ -55,112 +55,112 @@
 Client::Client(const CtlSettings& settings)
     : m_settings(settings)
     , m_io(kj::setupAsyncIo())
-    , m_next(inner::randomNumber() % settings.voters.size())
+    , m_nextVoter(inner::randomNumber() % settings.voters.size())
 {
 }
 
-base::Error Client::once(const base::Address& address, const Ask& ask)
+base::Error Client::callVoter(const base::Address& address, const VoterCall& call)
 {
-    ++m_tries;
+    ++m_attempts;
     auto linked = inner::connect(m_io, m_settings.membership, address, inner::rpc::Role::OPERATOR).wait(m_io.waitScope);
     if (!linked)
         return linked.error();
     kj::Own<inner::RpcLink> link = kj::mv(linked.value());
-    auto late = m_io.provider->getTimer().afterDelay(answerLimit.ms * kj::MILLISECONDS).then([&address] {
-        return base::fail(base::Code::PeerSilent, address.text() + " gave no answer within " + std::to_string(answerLimit.ms) + " ms");
+    auto late = m_io.provider->getTimer().afterDelay(answerTimeout.ms * kj::MILLISECONDS).then([&address] {
+        return base::fail(base::Code::PeerSilent, address.text() + " did not answer within " + std::to_string(answerTimeout.ms) + " ms");
     });
-    return ask(link->session.castAs<inner::rpc::Operator>())
+    return call(link->session.castAs<inner::rpc::Operator>())
         .catch_([&address](kj::Exception&& problem) { return base::fail(base::Code::PeerGone, address.text() + ": " + inner::describe(problem)); })
         .exclusiveJoin(inner::whenOver(*link))
         .exclusiveJoin(kj::mv(late))
         .wait(m_io.waitScope);
 }
 
-base::Error Client::overAll(const Ask& ask, base::Duration patience)
+base::Error Client::callWithRetries(const VoterCall& call, base::Duration timeout)
 {
-    const base::Time end = base::steadyNow() + patience;
+    const base::Time end = base::steadyNow() + timeout;
     for (;;) {
-        base::Error problem = once(m_settings.voters[m_next++ % m_settings.voters.size()], ask);
-        if (!worthRetrying(problem.code) || base::steadyNow() >= end)
+        base::Error problem = callVoter(m_settings.voters[m_nextVoter++ % m_settings.voters.size()], call);
+        if (!isRetryable(problem.code) || base::steadyNow() >= end)
             return problem;
-        const int64_t pause = m_tries % m_settings.voters.size() != 0 ? leastPause.ms : std::max(leastPause.ms, problem.retryAfter.ms);
+        const int64_t pause = m_attempts % m_settings.voters.size() != 0 ? minRetryDelay.ms : std::max(minRetryDelay.ms, problem.retryAfter.ms);
         m_io.provider->getTimer().afterDelay((pause + static_cast<int64_t>(inner::randomNumber() % static_cast<uint64_t>(pause))) * kj::MILLISECONDS).wait(m_io.waitScope);
     }
 }
 
-base::Result<ChangeDone> Client::change(const config::Command& command)
+base::Result<ChangeResult> Client::change(const config::Command& command)
 {
     const std::string bytes = config::encode(command);
-    ChangeDone out;
-    const base::Error problem = overAll([&](inner::rpc::Operator::Client session) {
-        auto ask = session.changeRequest();
-        ask.setCommand(inner::toData(bytes));
-        return ask.send().then([&out](auto&& answer) {
+    ChangeResult out;
+    const base::Error problem = callWithRetries([&](inner::rpc::Operator::Client session) {
+        auto request = session.changeRequest();
+        request.setCommand(inner::toData(bytes));
+        return request.send().then([&out](auto&& answer) {
             out = { { answer.getVersion() }, inner::text(answer.getText()) };
             return inner::read(answer.getFailure());
         });
     },
-        m_settings.patience);
+        m_settings.timeout);
     if (problem.code != base::Code::Ok)
         return problem;
     return out;
 }
 
-base::Result<nlohmann::json> Client::readCurrent(const std::string& what, base::Duration patience) { return read("current " + what, patience); }
-base::Result<nlohmann::json> Client::readAny(const std::string& what) { return read(what, m_settings.patience); }
+base::Result<nlohmann::json> Client::readFromLeader(const std::string& query, base::Duration timeout) { return read("current " + query, timeout); }
+base::Result<nlohmann::json> Client::readFromAnyVoter(const std::string& query) { return read(query, m_settings.timeout); }
 
-base::Result<nlohmann::json> Client::read(const std::string& what, base::Duration patience)
+base::Result<nlohmann::json> Client::read(const std::string& query, base::Duration timeout)
 {
     nlohmann::json out;
-    const base::Error problem = overAll([&](inner::rpc::Operator::Client session) { return readJson(kj::mv(session), what, out); }, patience);
+    const base::Error problem = callWithRetries([&](inner::rpc::Operator::Client session) { return readJson(kj::mv(session), query, out); }, timeout);
     if (problem.code != base::Code::Ok)
         return problem;
     return out;
 }
 
-base::Result<nlohmann::json> Client::readFrom(const base::Address& address, const std::string& what)
+base::Result<nlohmann::json> Client::readFrom(const base::Address& address, const std::string& query)
 {
     nlohmann::json out;
-    const base::Error problem = once(address, [&](inner::rpc::Operator::Client session) { return readJson(kj::mv(session), what, out); });
+    const base::Error problem = callVoter(address, [&](inner::rpc::Operator::Client session) { return readJson(kj::mv(session), query, out); });
     if (problem.code != base::Code::Ok)
         return problem;
     return out;
 }
 
-base::Result<void> Client::replaceVoter(base::ReplicaId old, base::ReplicaId fresh)
+base::Result<void> Client::replaceVoter(base::ReplicaId old, base::ReplicaId replacement)
 {
-    const base::Error problem = overAll([&](inner::rpc::Operator::Client session) {
-        auto ask = session.replaceVoterRequest();
-        ask.setOld(old.value);
-        ask.setNew(fresh.value);
-        return ask.send().then([](auto&& answer) { return inner::read(answer.getFailure()); });
+    const base::Error problem = callWithRetries([&](inner::rpc::Operator::Client session) {
+        auto request = session.replaceVoterRequest();
+        request.setOld(old.value);
+        request.setNew(replacement.value);
+        return request.send().then([](auto&& answer) { return inner::read(answer.getFailure()); });
     },
-        m_settings.patience);
+        m_settings.timeout);
     if (problem.code != base::Code::Ok)
         return problem;
-    return untilReplaced(old, fresh);
+    return waitUntilReplaced(old, replacement);
 }
 
-// Until then the mesh has four voters and one of them is gone: another host lost now would leave it without a majority.
-// So the operator is not told that the repair is done before it is.
-base::Result<void> Client::untilReplaced(base::ReplicaId old, base::ReplicaId fresh)
+// Until the old replica is removed the mesh has four voters, one of which is lost; the loss of one more host would leave it
+// without a majority. Success is therefore reported only when the replacement is finished.
+base::Result<void> Client::waitUntilReplaced(base::ReplicaId old, base::ReplicaId replacement)
 {
-    const base::Time end = base::steadyNow() + m_settings.patience;
+    const base::Time end = base::steadyNow() + m_settings.timeout;
     while (base::steadyNow() < end) {
-        auto current = readCurrent("agreed", m_settings.patience);
+        auto current = readFromLeader("agreed", m_settings.timeout);
         if (!current)
             return current.error();
-        bool oldThere = false;
-        bool freshVotes = false;
+        bool oldIsMember = false;
+        bool replacementVotes = false;
         for (const nlohmann::json& it : current.value().value("members", nlohmann::json::array())) {
-            oldThere |= it.value("replica", uint64_t { 0 }) == old.value;
-            freshVotes |= it.value("replica", uint64_t { 0 }) == fresh.value && it.value("votes", false);
+            oldIsMember |= it.value("replica", uint64_t { 0 }) == old.value;
+            replacementVotes |= it.value("replica", uint64_t { 0 }) == replacement.value && it.value("votes", false);
         }
-        if (freshVotes && !oldThere)
+        if (replacementVotes && !oldIsMember)
             return base::success();
-        m_io.provider->getTimer().afterDelay(memberPoll.ms * kj::MILLISECONDS).wait(m_io.waitScope);
+        m_io.provider->getTimer().afterDelay(memberPollInterval.ms * kj::MILLISECONDS).wait(m_io.waitScope);
     }
-    return base::fail(base::Code::OutcomePending, "agreed, but not finished yet; status shows when the new replica votes and the old one is gone");
+    return base::fail(base::Code::OutcomePending, "the replacement is committed but not finished; status shows when the new replica votes and the old one is removed");
 }
 
 } // namespace appletally::ctl
--- a/src/appletally/ctl/client.h
+++ b/src/appletally/ctl/client.h
@@ -1,7 +1,7 @@
-// Asks control processes on an operator's behalf, over all voters until one answers.
+// The operator's client of the control processes: calls the voters in turn until one answers.
 //
-// A change may be resent safely: the same operator, number and bytes always get the first outcome. So a lost answer, a
-// leader that dies in the middle or an election only cost time.
+// Changes are idempotent: a resend with the same operator, request number and bytes gets the outcome of the first. A lost
+// answer, a leader that dies during a change or an election therefore only cost time.
 #pragma once
 
 #include "appletally/config/commands.h"
@@ -12,35 +12,36 @@
 
 namespace appletally::ctl {
 
-struct ChangeDone {
+struct ChangeResult {
     base::ConfigVersion version;
-    std::string text; // rollout id, where one was started or ended
+    std::string text; // rollout id if the change started or ended a rollout, else empty
 };
 
 class Client {
 public:
     explicit Client(const CtlSettings&);
 
-    // Retries what may be retried until `patience` is over; then the last failure.
-    base::Result<ChangeDone> change(const config::Command&);
-    base::Result<nlohmann::json> readCurrent(const std::string& what, base::Duration patience); // from the leader
-    base::Result<nlohmann::json> readAny(const std::string& what); // from any voter; may be old
-    base::Result<nlohmann::json> readFrom(const base::Address&, const std::string& what); // one try
-    base::Result<void> replaceVoter(base::ReplicaId old, base::ReplicaId fresh); // waits until it is finished
+    // Retries transient errors until the settings' `timeout` or the parameter `timeout` has passed, then returns the last
+    // error.
+    base::Result<ChangeResult> change(const config::Command&);
+    base::Result<nlohmann::json> readFromLeader(const std::string& query, base::Duration timeout);
+    base::Result<nlohmann::json> readFromAnyVoter(const std::string& query); // may be outdated
+    base::Result<nlohmann::json> readFrom(const base::Address&, const std::string& query); // one attempt
+    base::Result<void> replaceVoter(base::ReplicaId old, base::ReplicaId replacement); // waits until the replacement is finished
 
-    uint64_t tries() const { return m_tries; }
+    uint64_t attempts() const { return m_attempts; }
 
 private:
-    using Ask = std::function<kj::Promise<base::Error>(inner::rpc::Operator::Client)>; // code Ok: done
-    base::Error once(const base::Address&, const Ask&);
-    base::Error overAll(const Ask&, base::Duration patience);
-    base::Result<nlohmann::json> read(const std::string& what, base::Duration patience);
-    base::Result<void> untilReplaced(base::ReplicaId old, base::ReplicaId fresh);
+    using VoterCall = std::function<kj::Promise<base::Error>(inner::rpc::Operator::Client)>; // code Ok: success
+    base::Error callVoter(const base::Address&, const VoterCall&);
+    base::Error callWithRetries(const VoterCall&, base::Duration timeout);
+    base::Result<nlohmann::json> read(const std::string& query, base::Duration timeout);
+    base::Result<void> waitUntilReplaced(base::ReplicaId old, base::ReplicaId replacement);
 
     CtlSettings m_settings;
     kj::AsyncIoContext m_io;
-    size_t m_next;
-    uint64_t m_tries = 0;
+    size_t m_nextVoter;
+    uint64_t m_attempts = 0;
 };
 
 } // namespace appletally::ctl
--- a/src/appletally/ctl/commands.cpp
+++ b/src/appletally/ctl/commands.cpp
@@ -18,10 +18,10 @@
 
 namespace {
 
-    // An election takes about a second; an operator who looks while there is no leader wants what there is.
-    constexpr base::Duration freshLimit { 3000 };
+    // An election takes about a second. Without a leader for longer, a possibly outdated answer of any voter is shown.
+    constexpr base::Duration leaderReadTimeout { 3000 };
 
-    base::Error badUsage(const std::string& text) { return base::fail(Code::BadCommandLine, text + "\n" + usage()); }
+    base::Error usageError(const std::string& text) { return base::fail(Code::BadCommandLine, text + "\n" + usage()); }
 
     base::Result<uint64_t> number(const std::string& text)
     {
@@ -29,30 +29,30 @@
         const char* end = text.data() + text.size();
         const auto [last, ec] = std::from_chars(text.data(), end, out);
         if (ec != std::errc() || last != end)
-            return badUsage("expected a number instead of " + text);
+            return usageError("expected a number, not " + text);
         return out;
     }
 
-    base::Result<base::ConfigVersion> currentVersion(Client& client, base::Duration patience)
+    base::Result<base::ConfigVersion> currentVersion(Client& client, base::Duration timeout)
     {
-        auto status = client.readCurrent("agreed", patience);
+        auto status = client.readFromLeader("agreed", timeout);
         if (!status)
             return status.error();
         return base::ConfigVersion { status.value().value("version", uint64_t { 0 }) };
     }
 
-    // Numbers, records, sends, and forgets the request once its outcome is known.
+    // Numbers the request, stores it, sends it, and removes it from the file once its outcome is known.
     base::Result<void> sendChange(const CtlSettings& settings, const CommandLine& line, config::Command command)
     {
         Client client(settings);
-        auto file = readRequestFile(settings.requests);
+        auto file = readRequestFile(settings.requestFile);
         if (!file)
             return file.error();
         auto* request = const_cast<config::OperatorRequest*>(config::requestOf(command));
-        request->by = settings.by;
+        request->by = settings.operatorId;
         request->base = line.base;
         if (line.base.value == 0) {
-            auto current = currentVersion(client, settings.patience);
+            auto current = currentVersion(client, settings.timeout);
             if (!current)
                 return current.error();
             request->base = current.value();
@@ -78,11 +78,11 @@
 
     base::Result<void> submit(const CtlSettings& settings, const CommandLine& line)
     {
-        if (line.words.size() != 2)
-            return badUsage("submit takes one file");
-        std::ifstream in(line.words[1], std::ios::binary);
+        if (line.arguments.size() != 2)
+            return usageError("submit takes one file");
+        std::ifstream in(line.arguments[1], std::ios::binary);
         if (!in)
-            return base::fail(Code::SettingsUnreadable, line.words[1] + ": (top): expected a readable file");
+            return base::fail(Code::SettingsUnreadable, line.arguments[1] + ": (top): expected a readable file");
         std::stringstream text;
         text << in.rdbuf();
         return sendChange(settings, line, config::SubmitAnswers { {}, text.str() });
@@ -90,39 +90,40 @@
 
     base::Result<void> rollout(const CtlSettings& settings, const CommandLine& line)
     {
-        const auto& words = line.words;
-        if (words.size() == 5 && words[1] == "start") {
-            const auto seconds = number(words[4]);
+        const auto& arguments = line.arguments;
+        if (arguments.size() == 5 && arguments[1] == "start") {
+            const auto seconds = number(arguments[4]);
             if (!seconds)
                 return seconds.error();
             config::StartRollout out;
-            out.service.text = words[2];
+            out.service.text = arguments[2];
             out.from.text = line.from;
-            out.to.text = words[3];
-            // Rounded to a second and part of what is asked: a resend keeps the moment of the first try, see request_file.h.
+            out.to.text = arguments[3];
+            // Whole seconds. The deadline is part of the request, and a resend keeps that of the first attempt; see
+            // request_file.h.
             out.completeBy = { (base::wallNow().ms / 1000 + static_cast<int64_t>(seconds.value())) * 1000 };
             return sendChange(settings, line, out);
         }
-        if (words.size() == 3 && words[1] == "stop")
-            return sendChange(settings, line, config::StopRollout { {}, { words[2] }, line.why.empty() ? "stopped by an operator" : line.why });
-        return badUsage("rollout start SERVICE VERSION SECONDS, or rollout stop ROLLOUT");
+        if (arguments.size() == 3 && arguments[1] == "stop")
+            return sendChange(settings, line, config::StopRollout { {}, { arguments[2] }, line.reason.empty() ? "stopped by an operator" : line.reason });
+        return usageError("rollout start SERVICE VERSION SECONDS, or rollout stop ROLLOUT");
     }
 
     base::Result<void> show(const CtlSettings& settings, const CommandLine& line)
     {
         Client client(settings);
-        auto json = client.readCurrent(line.words[0], std::min(settings.patience, freshLimit));
+        auto json = client.readFromLeader(line.arguments[0], std::min(settings.timeout, leaderReadTimeout));
         if (!json && (json.error().code == Code::NotLeader || json.error().code == Code::NoQuorum || json.error().code == Code::OutcomePending)) {
-            std::cerr << "no leader answers, what follows may be old: " << json.error() << '\n';
-            json = client.readAny(line.words[0]);
+            std::cerr << "no leader answered; this output may be old: " << json.error() << '\n';
+            json = client.readFromAnyVoter(line.arguments[0]);
         }
         if (!json)
             return json.error();
         if (line.json)
             std::cout << json.value().dump(2) << '\n';
-        else if (line.words[0] == "status")
+        else if (line.arguments[0] == "status")
             printStatus(std::cout, json.value());
-        else if (line.words[0] == "versions")
+        else if (line.arguments[0] == "versions")
             printVersions(std::cout, json.value());
         else
             printRollouts(std::cout, json.value());
@@ -131,9 +132,9 @@
 
     base::Result<void> dump(const CtlSettings& settings, const CommandLine& line)
     {
-        if (line.words.size() != 2)
-            return badUsage("dump takes one address");
-        const auto address = base::parseAddress(line.words[1]);
+        if (line.arguments.size() != 2)
+            return usageError("dump takes one address");
+        const auto address = base::parseAddress(line.arguments[1]);
         if (!address)
             return address.error();
         Client client(settings);
@@ -146,16 +147,16 @@
 
     base::Result<void> replaceVoter(const CtlSettings& settings, const CommandLine& line)
     {
-        if (line.words.size() != 3)
-            return badUsage("replace-voter takes the old and the new replica's number");
-        const auto old = number(line.words[1]);
-        const auto fresh = number(line.words[2]);
-        if (!old || !fresh)
-            return old ? fresh.error() : old.error();
+        if (line.arguments.size() != 3)
+            return usageError("replace-voter takes the old and the new replica's number");
+        const auto old = number(line.arguments[1]);
+        const auto replacement = number(line.arguments[2]);
+        if (!old || !replacement)
+            return old ? replacement.error() : old.error();
         Client client(settings);
-        if (auto done = client.replaceVoter({ old.value() }, { fresh.value() }); !done)
+        if (auto done = client.replaceVoter({ old.value() }, { replacement.value() }); !done)
             return done;
-        std::cout << "replaced: the new replica votes and the old one is out\n";
+        std::cout << "replaced: the new replica votes and the old one is removed\n";
         return base::success();
     }
 
@@ -164,18 +165,18 @@
 std::string usage()
 {
     return "commands:\n"
-           "  submit FILE                            changed answers\n"
-           "  rollout start SERVICE VERSION SECONDS  give VERSION all traffic within SECONDS\n"
-           "  rollout stop ROLLOUT                   give the old version all traffic again\n"
-           "  rollouts | versions | status           what runs and what happened\n"
-           "  dump ADDRESS                           the state of any process, as JSON\n"
-           "  explain ID LOG...                      one request's story out of log files; needs no settings: appletallyctl explain ...\n"
-           "  replace-voter OLD NEW                  a voter that lost its disk, by replica numbers";
+           "  submit FILE                            submit changed answers\n"
+           "  rollout start SERVICE VERSION SECONDS  shift all traffic to VERSION within SECONDS\n"
+           "  rollout stop ROLLOUT                   stop it and return all traffic to the old version\n"
+           "  rollouts | versions | status           show rollouts, versions or the state of the mesh\n"
+           "  dump ADDRESS                           print the state of a process as JSON\n"
+           "  explain ID LOG...                      show one request's events from log files; needs no settings: appletallyctl explain ...\n"
+           "  replace-voter OLD NEW                  replace a voter that lost its disk, by replica numbers";
 }
 
 base::Result<void> runCommand(const CtlSettings& settings, const CommandLine& line)
 {
-    const std::string command = line.words.empty() ? "" : line.words[0];
+    const std::string command = line.arguments.empty() ? "" : line.arguments[0];
     if (command == "submit")
         return submit(settings, line);
     if (command == "rollout")
@@ -186,7 +187,7 @@
         return dump(settings, line);
     if (command == "replace-voter")
         return replaceVoter(settings, line);
-    return badUsage("no such command: " + command);
+    return usageError("unknown command: " + command);
 }
 
 } // namespace appletally::ctl
--- a/src/appletally/ctl/commands.h
+++ b/src/appletally/ctl/commands.h
@@ -1,4 +1,4 @@
-// What appletallyctl does, one function for each command. Each prints for people, or JSON where asked.
+// The commands of appletallyctl. Each prints text, or JSON with --json.
 #pragma once
 
 #include "appletally/ctl/settings.h"
@@ -9,17 +9,17 @@
 namespace appletally::ctl {
 
 struct CommandLine {
-    std::vector<std::string> words; // command and its arguments
-    base::RequestNumber request; // 0: counted in the request file
-    base::ConfigVersion base; // 0: the version that is current when the command starts
-    std::string from; // rollout start: the old version; empty: the one that has the traffic
-    std::string why; // rollout stop
+    std::vector<std::string> arguments; // command and its arguments
+    base::RequestNumber request; // 0: the next number of the request file
+    base::ConfigVersion base; // 0: the current version when the command starts
+    std::string from; // rollout start: the old version; empty: the version that has the traffic
+    std::string reason; // rollout stop; stored in the history
     bool json = false;
 };
 
 std::string usage();
 
-// Ok, or what the program ends with.
+// Runs one command; the error determines the exit code.
 base::Result<void> runCommand(const CtlSettings&, const CommandLine&);
 
 } // namespace appletally::ctl
--- a/src/appletally/ctl/explain.cpp
+++ b/src/appletally/ctl/explain.cpp
@@ -1,4 +1,4 @@
-// Reading logs, putting one request's lines in order, and naming what is missing; see explain.h.
+// Reads logs, orders one request's lines and reports gaps; see explain.h.
 #include "appletally/ctl/explain.h"
 
 #include <algorithm>
@@ -13,24 +13,24 @@
     using base::Event;
     using Json = nlohmann::ordered_json;
 
-    // A line that tells what was left out comes with the next line about a request after the second is over. On a host that
-    // logs about any request at all that is well within this time.
-    constexpr int64_t leftOutToldWithin = 5000; // milliseconds
+    // The log-lines-left-out event of a second is written with the next line about any request after that second. On a host
+    // that logs requests at all, that is well within this time.
+    constexpr int64_t omissionReportDelayMs = 5000;
 
-    // A process that was killed is started again within this time; a later start has nothing to do with the request.
-    constexpr int64_t startedAgainWithin = 60'000; // milliseconds
+    // A killed process is restarted within this time; a later start is unrelated to the request.
+    constexpr int64_t restartWindowMs = 60'000;
 
     bool is(const LogLine& it, Event event) { return it.event == static_cast<int>(event); }
 
-    bool isOfCaller(const LogLine& it) { return it.event / 10 == 51 || is(it, Event::OutcomeLost); }
+    bool isCallerEvent(const LogLine& it) { return it.event / 10 == 51 || is(it, Event::OutcomeLost); }
 
-    // The last line that a caller's node writes of a request.
+    // The last event that the ingress logs for a request.
     bool endsRequest(const LogLine& it)
     {
         return is(it, Event::RequestAnswered) || is(it, Event::RequestRefused) || is(it, Event::RequestCancelled) || is(it, Event::OutcomeLost);
     }
 
-    // The last line that an upstream's node writes of a call.
+    // The last event that the owner logs for a call.
     bool endsCall(const LogLine& it)
     {
         return is(it, Event::CallRefused) || is(it, Event::CallEnded) || is(it, Event::CallFailed) || is(it, Event::CallCancelled);
@@ -61,16 +61,16 @@
         if (brace == std::string::npos)
             return {};
         Json json = Json::parse(line.begin() + static_cast<std::ptrdiff_t>(brace), line.end(), nullptr, false);
-        const bool ours = json.is_object() && json.contains("event") && json["event"].is_number_integer() && json.contains("host") && json["host"].is_string()
+        const bool isLogLine = json.is_object() && json.contains("event") && json["event"].is_number_integer() && json.contains("host") && json["host"].is_string()
             && json.contains("t") && json["t"].is_number_integer();
-        if (!ours)
+        if (!isLogLine)
             return {};
         LogLine out { json["t"].get<int64_t>(), json["host"].get<std::string>(), json["event"].get<int>(), {} };
         out.fields = std::move(json);
         return out;
     }
 
-    std::string nameOfCode(int64_t code)
+    std::string describeCode(int64_t code)
     {
         for (const base::CodeInfo& it : base::allCodes()) {
             if (static_cast<int64_t>(it.code) == code)
@@ -79,46 +79,46 @@
         return "code " + std::to_string(code);
     }
 
-    std::string outcomeOf(const std::vector<LogLine>& caller)
+    std::string describeOutcome(const std::vector<LogLine>& caller)
     {
         const auto end = std::find_if(caller.rbegin(), caller.rend(), endsRequest);
         if (end == caller.rend())
             return "its end is not in these logs";
-        const std::string after = " after " + text(*end, "took_ms") + " ms and " + text(*end, "tries") + " tries";
+        const std::string after = " after " + text(*end, "took_ms") + " ms and " + text(*end, "tries") + " attempts";
         if (is(*end, Event::RequestAnswered))
             return "answered with status " + text(*end, "status") + " by " + text(*end, "upstream") + after;
         if (is(*end, Event::RequestCancelled))
-            return "its caller left after " + text(*end, "after_ms") + " ms";
-        const std::string why = nameOfCode(number(*end, "code")) + ", " + text(*end, "why");
+            return "cancelled: the caller disconnected after " + text(*end, "after_ms") + " ms";
+        const std::string why = describeCode(number(*end, "code")) + ", " + text(*end, "why");
         if (is(*end, Event::OutcomeLost))
             return "outcome unknown: " + why + after;
-        // Refused before it was sent anywhere: there were no tries, and no time to speak of.
-        return "refused and not run: " + why + (end->fields.contains("took_ms") ? after : "");
+        // A request that was rejected before it was sent has no attempts and no duration.
+        return "rejected and not run: " + why + (end->fields.contains("took_ms") ? after : "");
     }
 
-    // Why a host that should have a line at `around` (by another host's clock) has none; `event` is the line's kind if known.
-    std::string whyMissing(const CollectedLogs& logs, const std::string& host, int64_t around, const std::vector<Event>& events)
+    // Why `host` has no line with one of `events` near the time `around`, which is by another host's clock.
+    std::string gapReason(const CollectedLogs& logs, const std::string& host, int64_t around, const std::vector<Event>& events)
     {
         const auto found = logs.hosts.find(host);
         if (found == logs.hosts.end())
             return "no log of this host was given";
         for (const LogLine& it : found->second) {
-            if (!is(it, Event::LogLinesLeftOut) || it.at < around || it.at - around > leftOutToldWithin)
+            if (!is(it, Event::LogLinesLeftOut) || it.timeMs < around || it.timeMs - around > omissionReportDelayMs)
                 continue;
             for (const Event event : events) {
                 const std::string name(base::info(event).name);
                 if (number(it, name.c_str()) > 0)
-                    return "its line may be one of the " + std::to_string(number(it, name.c_str())) + " " + name + " left out for their second's budget";
+                    return "its line may be one of the " + std::to_string(number(it, name.c_str())) + " " + name + " lines left out because of the log budget per second";
             }
         }
-        const bool startedAgain = std::any_of(found->second.begin(), found->second.end(), [&](const LogLine& it) { return is(it, Event::Started) && it.at > around && it.at - around < startedAgainWithin; });
-        if (startedAgain)
-            return "its process ended, and started again later";
+        const bool restarted = std::any_of(found->second.begin(), found->second.end(), [&](const LogLine& it) { return is(it, Event::Started) && it.timeMs > around && it.timeMs - around < restartWindowMs; });
+        if (restarted)
+            return "its process ended and was restarted";
         return "its log has no such line";
     }
 
-    // Takes the lines of the next call out of an upstream's node's lines.
-    std::vector<LogLine> takeCall(std::vector<LogLine>& lines)
+    // Removes and returns the lines of the owner's next call.
+    std::vector<LogLine> extractCall(std::vector<LogLine>& lines)
     {
         auto end = std::find_if(lines.begin(), lines.end(), endsCall);
         if (end != lines.end())
@@ -128,31 +128,31 @@
         return out;
     }
 
-    void sortOut(const CollectedLogs& logs, std::vector<LogLine>& caller, std::map<std::string, std::vector<LogLine>>& calls)
+    void separateCalls(const CollectedLogs& logs, std::vector<LogLine>& caller, std::map<std::string, std::vector<LogLine>>& calls)
     {
         for (const auto& [host, lines] : logs.request) {
             for (const LogLine& it : lines)
-                (isOfCaller(it) ? caller : calls[host]).push_back(it);
+                (isCallerEvent(it) ? caller : calls[host]).push_back(it);
         }
     }
 
-    void tellCalls(const CollectedLogs& logs, Story& story, const std::vector<LogLine>& caller, std::map<std::string, std::vector<LogLine>>& calls)
+    void appendCalls(const CollectedLogs& logs, RequestHistory& history, const std::vector<LogLine>& caller, std::map<std::string, std::vector<LogLine>>& calls)
     {
         for (size_t n = 0; n < caller.size(); ++n) {
-            story.lines.push_back(caller[n]);
+            history.lines.push_back(caller[n]);
             if (!is(caller[n], Event::RequestSent))
                 continue;
             const std::string host = text(caller[n], "upstream");
-            const std::vector<LogLine> call = takeCall(calls[host]);
-            story.lines.insert(story.lines.end(), call.begin(), call.end());
+            const std::vector<LogLine> call = extractCall(calls[host]);
+            history.lines.insert(history.lines.end(), call.begin(), call.end());
             if (call.empty() || !endsCall(call.back()))
-                story.gaps.push_back({ host, "how try " + text(caller[n], "try") + " ended: " + whyMissing(logs, host, caller[n].at, { Event::CallEnded, Event::CallRefused, Event::CallFailed, Event::CallCancelled }) });
+                history.gaps.push_back({ host, "how attempt " + text(caller[n], "try") + " ended: " + gapReason(logs, host, caller[n].timeMs, { Event::CallEnded, Event::CallRefused, Event::CallFailed, Event::CallCancelled }) });
         }
         for (auto& [host, lines] : calls) {
             if (lines.empty())
                 continue;
-            story.gaps.push_back({ host, "who sent it there: no request-sent to this host is in these logs" });
-            story.lines.insert(story.lines.end(), lines.begin(), lines.end());
+            history.gaps.push_back({ host, "which host sent the request: these logs have no request-sent to this host" });
+            history.lines.insert(history.lines.end(), lines.begin(), lines.end());
         }
     }
 
@@ -167,7 +167,7 @@
             it.unreadable += line.empty() ? 0 : 1;
             continue;
         }
-        std::vector<LogLine>& ofHost = it.hosts[parsed->host]; // also where nothing in it helps: the host's log was given
+        std::vector<LogLine>& ofHost = it.hosts[parsed->host]; // creates the entry, which shows that the host's log was given
         if (explainsGaps(*parsed))
             ofHost.push_back(*parsed);
         if (parsed->fields.value("id", "") == it.id)
@@ -175,49 +175,49 @@
     }
 }
 
-Story tell(const CollectedLogs& logs)
+RequestHistory buildHistory(const CollectedLogs& logs)
 {
     std::vector<LogLine> caller;
     std::map<std::string, std::vector<LogLine>> calls;
-    sortOut(logs, caller, calls);
-    Story out;
+    separateCalls(logs, caller, calls);
+    RequestHistory out;
     out.id = logs.id;
-    out.outcome = outcomeOf(caller);
-    tellCalls(logs, out, caller, calls);
+    out.outcome = describeOutcome(caller);
+    appendCalls(logs, out, caller, calls);
     if (caller.empty())
         return out;
     if (!endsRequest(caller.back()))
-        out.gaps.push_back({ caller.back().host, "how the request ended: " + whyMissing(logs, caller.back().host, caller.back().at, { Event::RequestAnswered, Event::RequestRefused, Event::OutcomeLost, Event::RequestCancelled }) });
+        out.gaps.push_back({ caller.back().host, "how the request ended: " + gapReason(logs, caller.back().host, caller.back().timeMs, { Event::RequestAnswered, Event::RequestRefused, Event::OutcomeLost, Event::RequestCancelled }) });
     const bool wasSent = std::any_of(caller.begin(), caller.end(), [](const LogLine& it) { return is(it, Event::RequestSent); });
     if (!wasSent && number(caller.back(), "tries") > 0)
-        out.gaps.push_back({ caller.back().host, "where it was sent: " + whyMissing(logs, caller.back().host, caller.back().at, { Event::RequestSent }) });
+        out.gaps.push_back({ caller.back().host, "where it was sent: " + gapReason(logs, caller.back().host, caller.back().timeMs, { Event::RequestSent }) });
     return out;
 }
 
-void print(std::ostream& out, const Story& story)
+void print(std::ostream& out, const RequestHistory& history)
 {
-    out << "request " << story.id << ": " << story.outcome << '\n';
-    const int64_t start = story.lines.empty() ? 0 : story.lines.front().at;
-    for (const LogLine& it : story.lines) {
-        out << "  " << it.host << " +" << it.at - start << " ms  " << text(it, "name");
+    out << "request " << history.id << ": " << history.outcome << '\n';
+    const int64_t start = history.lines.empty() ? 0 : history.lines.front().timeMs;
+    for (const LogLine& it : history.lines) {
+        out << "  " << it.host << " +" << it.timeMs - start << " ms  " << text(it, "name");
         for (const auto& [key, value] : it.fields.items()) {
-            static const std::vector<std::string> inHead { "t", "program", "host", "severity", "event", "name", "id" };
-            if (std::find(inHead.begin(), inHead.end(), key) == inHead.end())
+            static const std::vector<std::string> shownInHeader { "t", "program", "host", "severity", "event", "name", "id" };
+            if (std::find(shownInHeader.begin(), shownInHeader.end(), key) == shownInHeader.end())
                 out << "  " << key << '=' << (value.is_string() ? value.get<std::string>() : value.dump());
         }
         out << '\n';
     }
-    out << (story.gaps.empty() ? "nothing is missing\n" : "missing:\n");
-    for (const Gap& it : story.gaps)
+    out << (history.gaps.empty() ? "nothing is missing\n" : "missing:\n");
+    for (const Gap& it : history.gaps)
         out << "  " << it.host << ": " << it.text << '\n';
 }
 
-Json toJson(const Story& story)
+Json toJson(const RequestHistory& history)
 {
-    Json out = { { "id", story.id }, { "outcome", story.outcome }, { "lines", Json::array() }, { "gaps", Json::array() } };
-    for (const LogLine& it : story.lines)
+    Json out = { { "id", history.id }, { "outcome", history.outcome }, { "lines", Json::array() }, { "gaps", Json::array() } };
+    for (const LogLine& it : history.lines)
         out["lines"].push_back(it.fields);
-    for (const Gap& it : story.gaps)
+    for (const Gap& it : history.gaps)
         out["gaps"].push_back({ { "host", it.host }, { "text", it.text } });
     return out;
 }
@@ -239,12 +239,12 @@
         collect(logs, in);
     }
     if (logs.request.empty())
-        return base::fail(base::Code::BadCommandLine, "no line has the id " + logs.id + "; " + std::to_string(logs.hosts.size()) + " hosts' logs were read, " + std::to_string(logs.unreadable) + " lines were no log lines");
-    const Story story = tell(logs);
+        return base::fail(base::Code::BadCommandLine, "no line has the id " + logs.id + "; " + std::to_string(logs.hosts.size()) + " hosts' logs were read, " + std::to_string(logs.unreadable) + " lines were not log lines");
+    const RequestHistory history = buildHistory(logs);
     if (json)
-        std::cout << toJson(story).dump(2) << '\n';
+        std::cout << toJson(history).dump(2) << '\n';
     else
-        print(std::cout, story);
+        print(std::cout, history);
     return base::success();
 }
 
--- a/src/appletally/ctl/print.cpp
+++ b/src/appletally/ctl/print.cpp
@@ -1,4 +1,4 @@
-// Plain columns. A field that an older or newer control process does not send reads as "-".
+// Prints aligned columns. A field that an older or newer control process does not send is shown as "-".
 #include "appletally/ctl/print.h"
 
 #include <iomanip>
@@ -23,8 +23,8 @@
 
 static void printConvergence(std::ostream& out, const nlohmann::json& rows)
 {
-    constexpr size_t shown = 10; // the newest
-    out << "\nversion  in force  of nodes  released after ms  everywhere after ms\n";
+    constexpr size_t shown = 10; // the newest versions
+    out << "\nversion  applied   of nodes  released after ms  everywhere after ms\n";
     for (size_t n = rows.size() > shown ? rows.size() - shown : 0; n < rows.size(); ++n) {
         column(out, 8, field(rows[n], "version"));
         column(out, 9, field(rows[n], "in_force"));
--- a/src/appletally/ctl/print.h
+++ b/src/appletally/ctl/print.h
@@ -1,4 +1,4 @@
-// Tables for people out of the JSON that control processes answer with.
+// Formats the control processes' JSON answers as text tables.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/src/appletally/ctl/request_file.cpp
+++ b/src/appletally/ctl/request_file.cpp
@@ -1,4 +1,4 @@
-// Reading, writing and reuse of the pending request.
+// Reads, writes and reuses the pending request.
 #include "appletally/ctl/request_file.h"
 
 #include "appletally/base/json_reader.h"
@@ -40,19 +40,19 @@
     if (file.pending)
         json["pending"] = config::encode(*file.pending);
     const std::string bytes = json.dump() + "\n";
-    const std::string fresh = file.path + ".new";
-    const int fd = open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
+    const std::string temporaryPath = file.path + ".new";
+    const int fd = open(temporaryPath.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
     const bool written = fd >= 0 && write(fd, bytes.data(), bytes.size()) == static_cast<ssize_t>(bytes.size()) && fsync(fd) == 0;
     if (fd >= 0)
         close(fd);
-    if (!written || rename(fresh.c_str(), file.path.c_str()) != 0)
+    if (!written || rename(temporaryPath.c_str(), file.path.c_str()) != 0)
         return base::fail(base::Code::SettingsUnreadable, file.path + ": cannot be written: " + std::strerror(errno));
     return base::success();
 }
 
 static config::OperatorRequest* requestIn(config::Command& command) { return const_cast<config::OperatorRequest*>(config::requestOf(command)); }
 
-static bool asksTheSame(config::Command a, const config::Command& b, bool baseGiven)
+static bool isSameRequest(config::Command a, const config::Command& b, bool baseGiven)
 {
     config::OperatorRequest* request = requestIn(a);
     const config::OperatorRequest* other = config::requestOf(b);
@@ -60,7 +60,8 @@
         return false;
     request->number = other->number;
     request->base = other->base;
-    // Asked as "within N seconds": running the command again means the rollout of the first try.
+    // The command gives a duration ("within N seconds"). When it is run again, it means the rollout of the first attempt, so
+    // the deadline is not compared.
     auto* rollout = std::get_if<config::StartRollout>(&a);
     const auto* first = std::get_if<config::StartRollout>(&b);
     if (rollout && first)
@@ -74,7 +75,7 @@
     if (number.value != 0) {
         request->number = number;
         file.last = std::max(file.last, number);
-    } else if (file.pending && asksTheSame(command, *file.pending, baseGiven)) {
+    } else if (file.pending && isSameRequest(command, *file.pending, baseGiven)) {
         command = *file.pending;
     } else {
         request->number = { ++file.last.value };
--- a/src/appletally/ctl/request_file.h
+++ b/src/appletally/ctl/request_file.h
@@ -1,5 +1,5 @@
-// The operator's last request, kept beside the settings, so that running the same command again after a crash or a lost
-// answer repeats the request instead of making a second one.
+// The operator's last request, stored next to the settings file. Running the same command again after a crash or a lost
+// answer thereby resends the request instead of making a second one.
 #pragma once
 
 #include "appletally/base/result.h"
@@ -12,18 +12,18 @@
 
 struct RequestFile {
     std::string path;
-    base::RequestNumber last; // highest number used
-    std::optional<config::Command> pending; // sent, outcome not known yet
+    base::RequestNumber last; // highest request number used
+    std::optional<config::Command> pending; // sent, outcome unknown
 };
 
-// A missing file is an empty one. SettingsUnreadable.
+// A missing file reads as an empty one. Fails with SettingsUnreadable, among others, if the file is invalid.
 base::Result<RequestFile> readRequestFile(const std::string& path);
 
-// Synced before the request leaves.
+// Writes and syncs the file; call before the request is sent.
 base::Result<void> writeRequestFile(const RequestFile&);
 
-// Numbers the command, as the pending one if it asks the same but for number, base and time. `base` and `number`
-// override; zero: not given.
+// Gives the command its request number. A command that equals the pending one except for number, base version and deadline
+// becomes the pending one. `number` overrides (0: not given); with `baseGiven` the base versions must be equal too.
 void numberRequest(RequestFile&, config::Command&, base::RequestNumber number, bool baseGiven);
 
 } // namespace appletally::ctl
--- a/src/appletally/ctl/settings.cpp
+++ b/src/appletally/ctl/settings.cpp
@@ -1,4 +1,4 @@
-// Checked reading of appletallyctl's settings.
+// Reads and validates appletallyctl's settings.
 #include "appletally/ctl/settings.h"
 
 #include "appletally/base/json_reader.h"
@@ -21,8 +21,8 @@
         out.membership.key = key.value();
     else
         top.refuse(Code::SettingsOutOfRange, "key", "64 hex digits");
-    out.by.text = top.text("operator", 64);
-    out.membership.host.text = "operator " + out.by.text;
+    out.operatorId.text = top.text("operator", 64);
+    out.membership.host.text = "operator " + out.operatorId.text;
     for (const std::string& it : top.texts("voters")) {
         auto address = base::parseAddress(it);
         if (address)
@@ -30,8 +30,8 @@
         else
             top.refuse(Code::SettingsOutOfRange, "voters", "addresses such as 127.0.0.1:7001");
     }
-    out.requests = top.text("requests", file + ".requests");
-    out.patience = top.duration("patience_ms", base::Duration { 100 }, base::Duration { 600000 }, out.patience);
+    out.requestFile = top.text("requests", file + ".requests");
+    out.timeout = top.duration("patience_ms", base::Duration { 100 }, base::Duration { 600000 }, out.timeout);
     top.finish();
     if (out.voters.empty())
         top.refuse(Code::SettingsOutOfRange, "voters", "at least one address");
--- a/src/appletally/ctl/settings.h
+++ b/src/appletally/ctl/settings.h
@@ -1,4 +1,4 @@
-// Settings of appletallyctl: who the operator is and where the voters are.
+// Settings of appletallyctl: the operator's name and the voters' addresses.
 #pragma once
 
 #include "appletally/inner/cluster_key.h"
@@ -10,10 +10,10 @@
 
 struct CtlSettings {
     inner::Membership membership; // host: "operator NAME"
-    base::OperatorId by;
+    base::OperatorId operatorId;
     std::vector<base::Address> voters;
-    std::string requests; // file that keeps the last request, so that a resend after a crash has its number
-    base::Duration patience { 30000 }; // retries over all voters go on this long
+    std::string requestFile; // file with the last request, so that a resend after a crash has the same number
+    base::Duration timeout { 30000 }; // limit for all attempts of one call
 };
 
 base::Result<CtlSettings> readCtlSettings(const std::string& file);
--- a/tests/explain_test.cpp
+++ b/tests/explain_test.cpp
@@ -1,4 +1,4 @@
-// One request's story out of logs: the order, what is missing and why, and what an engineer on call reads of it.
+// explain: the order of one request's log lines, the gaps and their causes, and the printed output.
 #include "appletally/ctl/explain.h"
 
 #include <catch2/catch.hpp>
@@ -6,7 +6,7 @@
 
 using namespace appletally;
 using ctl::CollectedLogs;
-using ctl::Story;
+using ctl::RequestHistory;
 
 namespace {
 
@@ -21,10 +21,10 @@
     return out;
 }
 
-std::vector<int> eventsOf(const Story& story)
+std::vector<int> eventNumbers(const RequestHistory& history)
 {
     std::vector<int> out;
-    for (const ctl::LogLine& it : story.lines)
+    for (const ctl::LogLine& it : history.lines)
         out.push_back(it.event);
     return out;
 }
@@ -44,66 +44,66 @@
 
 } // namespace
 
-TEST_CASE("a refused request is told in order though the hosts' clocks differ by seconds", "[explain]")
+TEST_CASE("a rejected request's lines are in causal order although the hosts' clocks differ by seconds", "[explain]")
 {
-    // A member was refused. The clock of one upstream's host is three seconds ahead and that of the other eight behind, so by
-    // their times the first refusal comes after the last, and the second before the request was there.
-    const Story story = ctl::tell(collected("r1", { second, first, caller }));
-    CHECK(eventsOf(story) == std::vector<int> { 511, 522, 514, 511, 521, 522, 513 });
-    CHECK(story.lines[1].host == "b-1");
-    CHECK(story.gaps.empty());
-    CHECK(story.outcome == "refused and not run: no-room (418), no room in time after 4 ms and 2 tries");
+    // The clock of one upstream's host is 3 s ahead and that of the other 8 s behind. Sorted by time, the first rejection
+    // would come after the last line, and the second before the request was sent.
+    const RequestHistory history = ctl::buildHistory(collected("r1", { second, first, caller }));
+    CHECK(eventNumbers(history) == std::vector<int> { 511, 522, 514, 511, 521, 522, 513 });
+    CHECK(history.lines[1].host == "b-1");
+    CHECK(history.gaps.empty());
+    CHECK(history.outcome == "rejected and not run: no-room (418), no room in time after 4 ms and 2 attempts");
     std::ostringstream out;
-    ctl::print(out, story);
+    ctl::print(out, history);
     CHECK(out.str().find("a-1 +0 ms  request-sent  upstream=b-1  try=1  left_ms=692") != std::string::npos);
     CHECK(out.str().find("nothing is missing") != std::string::npos);
-    const auto json = ctl::toJson(story);
+    const auto json = ctl::toJson(history);
     CHECK(json["lines"].size() == 7);
     CHECK(json["lines"][6]["retry_after_ms"] == 697);
 }
 
-TEST_CASE("what a story lacks is named with its reason", "[explain]")
+TEST_CASE("each gap in a request's history is reported with its cause", "[explain]")
 {
-    // The log of one upstream's host was not collected; the other host left lines out, was killed, or says nothing at all.
-    // Left unsaid, the engineer on call takes the request for one that was never sent there.
+    // A host's log was not collected, lines were left out, or the process was killed. If the gap were not reported, the
+    // request would look as if it had never been sent to that host.
     const auto gapAt = [](const std::string& log) {
-        const Story story = ctl::tell(collected("r1", { caller, first, log }));
-        REQUIRE(story.gaps.size() == 1);
-        CHECK(story.gaps[0].host == "c-1");
-        return story.gaps[0].text;
+        const RequestHistory history = ctl::buildHistory(collected("r1", { caller, first, log }));
+        REQUIRE(history.gaps.size() == 1);
+        CHECK(history.gaps[0].host == "c-1");
+        return history.gaps[0].text;
     };
-    CHECK(gapAt("") == "how try 2 ended: no log of this host was given");
-    CHECK(gapAt(R"({"t":9900,"host":"c-1","event":107,"name":"log-lines-left-out","call-refused":31})") == "how try 2 ended: its line may be one of the 31 call-refused left out for their second's budget");
-    CHECK(gapAt(R"({"t":11000,"host":"c-1","event":101,"name":"started","text":""})") == "how try 2 ended: its process ended, and started again later");
-    CHECK(gapAt(R"({"t":8000,"host":"c-1","event":404,"name":"link-down","text":""})") == "how try 2 ended: its log has no such line");
-    CHECK(gapAt(R"({"t":1000,"host":"c-1","event":521,"name":"call-queued","id":"r1"})") == "how try 2 ended: its log has no such line");
+    CHECK(gapAt("") == "how attempt 2 ended: no log of this host was given");
+    CHECK(gapAt(R"({"t":9900,"host":"c-1","event":107,"name":"log-lines-left-out","call-refused":31})") == "how attempt 2 ended: its line may be one of the 31 call-refused lines left out because of the log budget per second");
+    CHECK(gapAt(R"({"t":11000,"host":"c-1","event":101,"name":"started","text":""})") == "how attempt 2 ended: its process ended and was restarted");
+    CHECK(gapAt(R"({"t":8000,"host":"c-1","event":404,"name":"link-down","text":""})") == "how attempt 2 ended: its log has no such line");
+    CHECK(gapAt(R"({"t":1000,"host":"c-1","event":521,"name":"call-queued","id":"r1"})") == "how attempt 2 ended: its log has no such line");
 }
 
-TEST_CASE("a request whose caller's node was killed has no end, and a call without a sender is shown all the same", "[explain]")
+TEST_CASE("a request whose ingress was killed has no end, and a call without a request-sent line is still shown", "[explain]")
 {
-    // The caller's node was killed while the upstream worked: the upstream's answer is in the logs, the caller's is nowhere.
+    // The ingress was killed while the upstream ran the request: the logs have the upstream's answer, but not the caller's.
     const std::string killed = R"({"t":9000,"host":"a-1","event":511,"name":"request-sent","id":"r1","upstream":"b-1","try":1}
 {"t":9700,"host":"a-1","event":101,"name":"started","text":""}
 )";
     const std::string ran = R"({"t":9100,"host":"b-1","event":523,"name":"call-ended","id":"r1","status":200}
 )";
-    const Story story = ctl::tell(collected("r1", { killed, ran }));
-    CHECK(story.outcome == "its end is not in these logs");
-    CHECK(eventsOf(story) == std::vector<int> { 511, 523 });
-    REQUIRE(story.gaps.size() == 1);
-    CHECK(story.gaps[0].text == "how the request ended: its process ended, and started again later");
+    const RequestHistory history = ctl::buildHistory(collected("r1", { killed, ran }));
+    CHECK(history.outcome == "its end is not in these logs");
+    CHECK(eventNumbers(history) == std::vector<int> { 511, 523 });
+    REQUIRE(history.gaps.size() == 1);
+    CHECK(history.gaps[0].text == "how the request ended: its process ended and was restarted");
 
-    const Story alone = ctl::tell(collected("r1", { ran }));
+    const RequestHistory alone = ctl::buildHistory(collected("r1", { ran }));
     REQUIRE(alone.gaps.size() == 1);
     CHECK(alone.gaps[0].host == "b-1");
-    CHECK(eventsOf(alone) == std::vector<int> { 523 });
+    CHECK(eventNumbers(alone) == std::vector<int> { 523 });
 }
 
-TEST_CASE("lines of other programs and torn ones are passed over", "[explain]")
+TEST_CASE("lines of other programs and truncated lines are skipped", "[explain]")
 {
     const auto logs = collected("r1", { "plain text\n{\"t\":1,\"host\":\"x\"}\n{\"t\":9000,\"host\":\"a-1\",\"event\":511\n  30.16 a-1 " + first });
     CHECK(logs.unreadable == 3);
-    CHECK(logs.request.contains("b-1")); // behind what a collector puts before each line
+    CHECK(logs.request.contains("b-1")); // after the prefix that a log collector adds
     CHECK_FALSE(ctl::explain({ "explain", "r1" }, false));
     CHECK_FALSE(ctl::explain({ "explain", "r1", "/no/such/file" }, false));
 }
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,4 +1,4 @@
-// The adapter: the platform's words read once into types, and nothing believed that cannot be used.
+// The platform adapter: decoding of heartbeats, configurations and settings, and rejection of invalid input.
 #include "appletally/config/state_machine.h"
 #include "platform/document.h"
 #include "platform/heartbeat.h"
@@ -13,17 +13,17 @@
 
 namespace {
 
-Json beatBody()
+Json heartbeatBody()
 {
     return { { "service", "plugs" }, { "address", "10.1.0.9:80" }, { "zone", "a" }, { "version", "v1" }, { "max_concurrency", 6 }, { "state", "ready" },
         { "cold_remaining_ms", 500 }, { "sequence", 4 }, { "born", 1000 } };
 }
 
-platform::Heartbeat beat(const std::string& id, uint64_t born, uint64_t sequence)
+platform::Heartbeat heartbeat(const std::string& id, uint64_t startedAtMs, uint64_t sequence)
 {
     platform::Heartbeat out;
     out.announcement.id = id;
-    out.bornMs = born;
+    out.startedAtMs = startedAtMs;
     out.sequence = sequence;
     return out;
 }
@@ -46,62 +46,62 @@
 
 } // namespace
 
-TEST_CASE("a backend's report is taken only whole", "[platform]")
+TEST_CASE("a heartbeat with a missing or mistyped field is rejected", "[platform]")
 {
-    const auto good = platform::readHeartbeat("i-1", beatBody().dump());
+    const auto good = platform::readHeartbeat("i-1", heartbeatBody().dump());
     REQUIRE(good);
     CHECK(good.value().announcement.slots == 6);
     CHECK(good.value().announcement.coldLeft == base::Duration { 500 });
     CHECK(good.value().announcement.state == config::EndpointState::Ready);
-    // Another program writes half of a report, or of a kind that nobody here knows. Guessing what is missing would send
-    // callers to an upstream that is not there.
+    // Another program sends an incomplete heartbeat, or one with unknown values. With guessed defaults, requests would be
+    // sent to an upstream that does not exist.
     for (const char* field : { "service", "address", "version", "max_concurrency", "state", "sequence", "born" }) {
-        Json missing = beatBody();
+        Json missing = heartbeatBody();
         missing.erase(field);
         CHECK_FALSE(platform::readHeartbeat("i-1", missing.dump()));
-        Json mistyped = beatBody();
+        Json mistyped = heartbeatBody();
         mistyped[field] = Json::array();
         CHECK_FALSE(platform::readHeartbeat("i-1", mistyped.dump()));
     }
-    Json strange = beatBody();
-    strange["state"] = "napping";
-    CHECK_FALSE(platform::readHeartbeat("i-1", strange.dump()));
+    Json unknownState = heartbeatBody();
+    unknownState["state"] = "napping";
+    CHECK_FALSE(platform::readHeartbeat("i-1", unknownState.dump()));
     CHECK_FALSE(platform::readHeartbeat("i-1", "{\"service\":"));
-    CHECK_FALSE(platform::readHeartbeat("", beatBody().dump()));
+    CHECK_FALSE(platform::readHeartbeat("", heartbeatBody().dump()));
 }
 
-TEST_CASE("a dead process's late report changes nothing, nor does one of an earlier start under the same id", "[platform]")
+TEST_CASE("late heartbeats of a dead process or of an earlier start under the same id are ignored", "[platform]")
 {
-    // A report is held up by a cut while its sender dies and another process starts at its address. Believed, it takes the
-    // new one out, or sends callers' requests to one that refuses them.
-    std::optional<platform::Backend> known;
-    CHECK(platform::isNews(known, beat("old", 100, 7)));
-    CHECK_FALSE(platform::isNews(known, beat("old", 100, 7))); // doubled
-    CHECK_FALSE(platform::isNews(known, beat("old", 100, 6))); // overtaken
-    CHECK(platform::isNews(known, beat("new", 200, 1)));
-    CHECK_FALSE(platform::isNews(known, beat("old", 100, 8)));
-    CHECK_FALSE(platform::isGoodbye(known, "old", 100));
-    CHECK(platform::isNews(known, beat("new", 300, 1))); // started again under its id
-    CHECK_FALSE(platform::isNews(known, beat("new", 200, 9)));
-    CHECK_FALSE(platform::isGoodbye(known, "new", 200));
-    CHECK(platform::isGoodbye(known, "new", 300));
-    CHECK_FALSE(platform::isNews(known, beat("new", 300, 2))); // it goes; a report from before that is late
-    CHECK(platform::isNews(known, beat("next", 400, 1)));
+    // A heartbeat is delayed by a network partition while its sender dies and another process starts at its address.
+    // Applied, it would take the new process out of service, or send requests to one that rejects them.
+    std::optional<platform::BackendState> known;
+    CHECK(platform::recordIfNewer(known, heartbeat("old", 100, 7)));
+    CHECK_FALSE(platform::recordIfNewer(known, heartbeat("old", 100, 7))); // duplicate
+    CHECK_FALSE(platform::recordIfNewer(known, heartbeat("old", 100, 6))); // out of order
+    CHECK(platform::recordIfNewer(known, heartbeat("new", 200, 1)));
+    CHECK_FALSE(platform::recordIfNewer(known, heartbeat("old", 100, 8)));
+    CHECK_FALSE(platform::recordDeregistration(known, "old", 100));
+    CHECK(platform::recordIfNewer(known, heartbeat("new", 300, 1))); // restarted under the same id
+    CHECK_FALSE(platform::recordIfNewer(known, heartbeat("new", 200, 9)));
+    CHECK_FALSE(platform::recordDeregistration(known, "new", 200));
+    CHECK(platform::recordDeregistration(known, "new", 300));
+    CHECK_FALSE(platform::recordIfNewer(known, heartbeat("new", 300, 2))); // deregistered; this heartbeat was sent before that
+    CHECK(platform::recordIfNewer(known, heartbeat("next", 400, 1)));
 }
 
-TEST_CASE("a goodbye that a restarted node hears first is remembered", "[platform]")
+TEST_CASE("a restarted node records a deregistration that arrives before any heartbeat", "[platform]")
 {
-    // The node beside a catalogue server restarts; the server says that it leaves, and a report that it sent before comes
-    // seconds late. Believed, drivers' requests go to a server that may be gone at any moment.
-    for (const uint64_t born : { 100, 0 }) {
-        std::optional<platform::Backend> known;
-        CHECK_FALSE(platform::isGoodbye(known, "i-1", born)); // nothing stands there yet that could be drained
-        CHECK_FALSE(platform::isNews(known, beat("i-1", 100, 7)));
-        CHECK(platform::isNews(known, beat("i-2", 200, 1)));
+    // The node restarts, the backend deregisters, and a heartbeat that it sent before arrives seconds late. If the heartbeat
+    // were applied, requests would be sent to a backend that may stop at any moment.
+    for (const uint64_t startedAtMs : { 100, 0 }) {
+        std::optional<platform::BackendState> known;
+        CHECK_FALSE(platform::recordDeregistration(known, "i-1", startedAtMs)); // no registered backend to drain
+        CHECK_FALSE(platform::recordIfNewer(known, heartbeat("i-1", 100, 7)));
+        CHECK(platform::recordIfNewer(known, heartbeat("i-2", 200, 1)));
     }
 }
 
-TEST_CASE("a configuration is read into routes, services and limits", "[platform]")
+TEST_CASE("a configuration is decoded into routes, services and limits", "[platform]")
 {
     const auto document = platform::readDocument(configuration(7).dump(), 5);
     REQUIRE(document);
@@ -124,15 +124,15 @@
     CHECK(it.limits.idleTime == base::Duration { 15000 });
 }
 
-TEST_CASE("a configuration that cannot be enforced whole is refused", "[platform]")
+TEST_CASE("a configuration that cannot be applied completely is rejected", "[platform]")
 {
-    // An operator's tool dies in the middle of a write, or names a service that was taken out. In force by halves, callers
-    // of some routes would meet rules that nobody wrote.
+    // An operator's tool dies during a write, or names a service that was removed. Applied partially, some routes would have
+    // rules that no operator has written.
     const std::string whole = configuration(7).dump();
     CHECK(platform::readDocument(whole.substr(0, whole.size() - 1), 5).error().code == Code::AnswersInvalid);
-    const auto code = [](const std::function<void(Json&)>& spoil) {
+    const auto code = [](const std::function<void(Json&)>& modify) {
         Json it = configuration(7);
-        spoil(it);
+        modify(it);
         const auto read = platform::readDocument(it.dump(), 5);
         return read ? Code::Ok : read.error().code;
     };
@@ -140,7 +140,7 @@
     CHECK(code([](Json& it) { it["routes"]["r1"]["service"] = "gone"; }) == Code::DanglingReference);
     CHECK(code([](Json& it) { it["routes"]["r2"]["traffic_split"][0]["service"] = "gone"; }) == Code::DanglingReference);
     CHECK(code([](Json& it) { it["routes"]["r2"]["traffic_split"][0]["weight"] = -1; }) == Code::AnswersInvalid);
-    CHECK(code([](Json& it) { it["routes"]["r2"]["path_prefix"] = "/x/"; }) == Code::AnswersInvalid); // as r1, but for capitals
+    CHECK(code([](Json& it) { it["routes"]["r2"]["path_prefix"] = "/x/"; }) == Code::AnswersInvalid); // same as r1 except for case
     CHECK(code([](Json& it) { it["routes"]["r1"]["host"] = ""; }) == Code::AnswersInvalid);
     CHECK(code([](Json& it) { it["routes"]["r1"].erase("timeout_ms"); }) == Code::Ok);
     CHECK(code([](Json& it) { it["routes"]["r1"]["timeout_ms"] = "soon"; }) == Code::AnswersInvalid);
@@ -149,8 +149,8 @@
     CHECK(code([](Json& it) { it["routes"] = Json::array(); }) == Code::AnswersInvalid);
 }
 
-// Guards against: a configuration that is acknowledged though part of what was sent is not in it.
-TEST_CASE("a configuration with a repeated name, broken text, endless nesting or an unreadable version is refused", "[platform]")
+// Guards against a configuration that is acknowledged although a part of it is not applied.
+TEST_CASE("a configuration with duplicate names, invalid UTF-8, excessive nesting or an invalid version is rejected", "[platform]")
 {
     const std::string whole = configuration(7).dump();
     const auto replaced = [&](const std::string& from, const std::string& to) {
@@ -171,10 +171,10 @@
     CHECK(replaced("\"version\":7", "\"version\":9223372036854775808") == Code::AnswersInvalid);
 }
 
-// Guards against: a number that does not fit the type that holds it and becomes another one, such as a weight of zero.
-TEST_CASE("weights of any size keep their proportion, and limits beyond any use are as good as none", "[platform]")
+// Guards against numbers that overflow their type and become another value, such as a weight of zero.
+TEST_CASE("weights of any size keep their proportion, and excessively large limits act as no limit", "[platform]")
 {
-    const auto partsOf = [](double first, double second) {
+    const auto weightsFor = [](double first, double second) {
         Json it = configuration(7);
         it["routes"]["r2"]["traffic_split"][0]["weight"] = first;
         it["routes"]["r2"]["traffic_split"][1]["weight"] = second;
@@ -183,10 +183,10 @@
         const auto& splits = document.value().routes.at({ "r2" }).route.splits;
         return std::pair(splits[0].weight, splits[1].weight);
     };
-    CHECK(partsOf(90, 10) == std::pair(90'000, 10'000));
-    CHECK(partsOf(90, 0) == std::pair(90'000, 0));
-    CHECK(partsOf(90, 0.0004) == std::pair(90'000, 1));
-    const auto [large, small] = partsOf(9e12, 1e12);
+    CHECK(weightsFor(90, 10) == std::pair(90'000, 10'000));
+    CHECK(weightsFor(90, 0) == std::pair(90'000, 0));
+    CHECK(weightsFor(90, 0.0004) == std::pair(90'000, 1));
+    const auto [large, small] = weightsFor(9e12, 1e12);
     CHECK(small > 0);
     CHECK(large == Approx(9.0 * small).epsilon(0.01));
 
@@ -199,10 +199,10 @@
     CHECK(document.value().services.at({ "plugs" }).service.mostConnections > 1'000'000);
 }
 
-TEST_CASE("documents: one wins of two on the same base, a resend gets its first answer, what is read back is what was sent", "[platform][documents]")
+TEST_CASE("documents: of two changes on the same base one wins, a resend gets the first outcome, and reading returns what was sent", "[platform][documents]")
 {
-    // Two operators build on the same version; one loses its acknowledgement and sends again, while the next change has
-    // come already. Refused then, it would make its change a second time on top.
+    // Two operators change the same version. One does not receive its acknowledgement and resends after the next change was
+    // accepted. If the resend were rejected, the operator would make the change a second time on top.
     config::State state;
     const Json first = configuration(3);
     const auto accepted = config::apply(state, { 1 }, submit(state, first, 0));
@@ -215,18 +215,18 @@
     two["routes"].erase("r2");
     const config::SubmitDocument winner = submit(state, one, 3);
     const config::SubmitDocument loser = submit(state, two, 3);
-    CHECK(winner.change.routes.size() == 1); // what did not change does not travel
+    CHECK(winner.change.routes.size() == 1); // unchanged resources are not sent
     CHECK(config::apply(state, { 2 }, winner).code == Code::Ok);
     CHECK(config::apply(state, { 3 }, loser).code == Code::VersionConflict);
     CHECK(config::current(state).version.value == 2);
-    CHECK(config::apply(state, { 4 }, winner).code == Code::Ok); // again
-    CHECK(config::current(state).version.value == 2); // and nothing happened
+    CHECK(config::apply(state, { 4 }, winner).code == Code::Ok); // resend
+    CHECK(config::current(state).version.value == 2); // unchanged
 
     Json next = two;
     next["version"] = 9;
     CHECK(config::apply(state, { 5 }, submit(state, next, 8)).code == Code::Ok);
     CHECK_FALSE(config::current(state).routes.contains({ "r2" }));
-    CHECK(config::apply(state, { 6 }, winner).code == Code::Ok); // its acknowledgement was lost for that long
+    CHECK(config::apply(state, { 6 }, winner).code == Code::Ok); // a resend after a later change
     CHECK(Json::parse(platform::writeDocument(state.document)) == next);
 
     Json lower = configuration(4);
@@ -237,7 +237,7 @@
     CHECK(config::current(again.value()) == config::current(state));
 }
 
-TEST_CASE("a move of traffic that is asked for again is the same move", "[platform][documents]")
+TEST_CASE("a traffic move that is requested again returns the same rollout", "[platform][documents]")
 {
     config::State state;
     REQUIRE(config::apply(state, { 1 }, submit(state, configuration(3), 0)).code == Code::Ok);
@@ -250,29 +250,29 @@
     CHECK(config::apply(state, { 4 }, other).code == Code::RolloutConflict);
     CHECK(config::apply(state, { 5 }, config::TakeBack { started.rollout, { 0 }, "bad", { 2000 } }).code == Code::Ok);
     config::MoveTraffic late = move;
-    late.at = { 3000 }; // the request for it, resent after its answer was lost
+    late.at = { 3000 }; // resent after the answer was lost
     CHECK(config::apply(state, { 6 }, late).rollout == started.rollout);
     CHECK(config::current(state).rollouts.empty());
-    late.at = { 60'000 }; // somebody wants to try it again
+    late.at = { 60'000 }; // a new request for the same move
     CHECK(config::apply(state, { 7 }, late).rollout != started.rollout);
     CHECK(config::current(state).rollouts.size() == 1);
 }
 
-// Guards against: a request taken so late in a stop that its upstream is still at work when the process has to end.
-TEST_CASE("a stopping node that hears of it late takes nothing in the second half of its grace time", "[platform]")
+// Guards against a request accepted so late in a shutdown that its upstream still runs it when the process must end.
+TEST_CASE("a node that handles the stop signal late accepts nothing in the second half of its grace period", "[platform]")
 {
-    const base::Duration heardLate { 500 };
+    const base::Duration signalDelay { 500 };
     for (const int64_t seconds : { 2, 4, 6, 20 }) {
         const Json file = { { "node_id", "side-1" }, { "ip", "10.1.0.9" }, { "zone", "a" }, { "region", "r" }, { "internal_port_range", { 7380, 7395 } }, { "seed_nodes", { "10.1.0.1:90" } },
             { "heartbeat_ms", 1500 }, { "service", "plugs" }, { "bind_addresses", { { "outbound", "10.1.0.9:81" }, { "control_plane", "10.1.0.9:90" }, { "ready_address", "10.1.0.9:82" } } },
             { "bounds", { { "grace_s", seconds } } } };
         const auto node = platform::readNodeFile(file.dump());
         REQUIRE(node);
-        CHECK(node.value().settings.drainTime + heardLate <= base::Duration { seconds * 500 });
+        CHECK(node.value().settings.drainTime + signalDelay <= base::Duration { seconds * 500 });
     }
 }
 
-TEST_CASE("the platform's settings become the product's, and what is missing is named", "[platform]")
+TEST_CASE("the platform's settings are converted, and a missing field is named in the error", "[platform]")
 {
     Json file = { { "node_id", "side-1" }, { "ip", "10.1.0.9" }, { "zone", "a" }, { "region", "r" }, { "internal_port_range", { 7380, 7395 } }, { "seed_nodes", { "10.1.0.1:90", "10.1.0.2:90" } },
         { "bootstrap", true }, { "heartbeat_ms", 1500 }, { "service", "plugs" }, { "data_dir", "/data/x" }, { "something_new", { { "a", 1 } } },
