--- a/bench/apply_costs.cpp
+++ b/bench/apply_costs.cpp
@@ -96,10 +96,10 @@
     start = std::chrono::steady_clock::now();
     apply(state, { document.id.number.value }, decoded.value());
     recordStep("apply the command");
-    const inner::ContentPiece full = inner::makePiece(state.snapshot, nullptr);
+    const inner::EncodedVersion full = inner::encodeVersion(state.snapshot, nullptr);
     recordStep("encode snapshot for nodes");
     if (before.version.value != 0)
-        inner::makePiece(state.snapshot, &before);
+        inner::encodeVersion(state.snapshot, &before);
     recordStep("encode delta for nodes");
     Applied node;
     if (!inner::apply(node, full))
--- a/bench/light_nodes.cpp
+++ b/bench/light_nodes.cpp
@@ -51,7 +51,7 @@
         settings.membership.host = host;
         inner::SourceClientHooks hooks;
         hooks.released = [this, &it](const std::shared_ptr<const config::Snapshot>& snapshot) {
-            it.client->inForce(snapshot->version);
+            it.client->setAppliedVersion(snapshot->version);
             note(snapshot->version);
         };
         hooks.endpoints = [this](const std::vector<config::Endpoint>& endpoints) { m_records += endpoints.size(); };
@@ -82,7 +82,7 @@
                 const inner::SourceClientCounters sum = it->client->counters();
                 in += sum.bytesIn;
                 out += sum.bytesOut;
-                later += sum.cameBackLater;
+                later += sum.retryLaterResponses;
                 wholes += sum.snapshots;
                 ready += config::versionInForce(it->client->applied()).value != 0;
             }
--- a/src/appletally/control/convergence.cpp
+++ b/src/appletally/control/convergence.cpp
@@ -49,9 +49,9 @@
     }
 }
 
-void heard(Convergence& it, const std::vector<inner::NodeInForce>& reports, base::Time now)
+void heard(Convergence& it, const std::vector<inner::NodeAppliedVersion>& reports, base::Time now)
 {
-    for (const inner::NodeInForce& report : reports) {
+    for (const inner::NodeAppliedVersion& report : reports) {
         NodeStanding& node = it.nodes[report.host];
         if (report.incarnation < node.incarnation)
             continue;
--- a/src/appletally/control/convergence.h
+++ b/src/appletally/control/convergence.h
@@ -28,7 +28,7 @@
 
 void accepted(Convergence&, base::ConfigVersion, base::Time now);
 void released(Convergence&, base::ConfigVersion, base::Time now);
-void heard(Convergence&, const std::vector<inner::NodeInForce>&, base::Time now);
+void heard(Convergence&, const std::vector<inner::NodeAppliedVersion>&, base::Time now);
 void expire(Convergence&, base::Time now); // forgets nodes out of reach
 
 // How many of the nodes within reach have the version or a later one.
--- a/src/appletally/control/distributor.cpp
+++ b/src/appletally/control/distributor.cpp
@@ -212,14 +212,14 @@
     pushEndpoints(id, it->second);
 }
 
-const inner::ContentPiece& Distributor::piece(base::ConfigVersion from)
+const inner::EncodedVersion& Distributor::piece(base::ConfigVersion from)
 {
     auto known = m_recent.find(from);
     const base::ConfigVersion start = known == m_recent.end() ? base::ConfigVersion {} : from;
     auto it = m_pieces.find(start);
     if (it == m_pieces.end()) {
         const config::Snapshot* old = known == m_recent.end() ? nullptr : known->second.get();
-        it = m_pieces.emplace(start, inner::makePiece(*m_content, old)).first;
+        it = m_pieces.emplace(start, inner::encodeVersion(*m_content, old)).first;
     }
     return it->second;
 }
@@ -232,7 +232,7 @@
         settle(it);
         return;
     }
-    const inner::ContentPiece& next = piece(it.have);
+    const inner::EncodedVersion& next = piece(it.have);
     ++(next.from.value == 0 ? m_counters.wholeSent : m_counters.deltasSent);
     m_counters.contentBytes += next.bytes.size();
     auto ask = it.feed.contentRequest();
--- a/src/appletally/control/distributor.h
+++ b/src/appletally/control/distributor.h
@@ -101,7 +101,7 @@
     void pushEndpoints(uint64_t id, Subscriber&);
     void confirmed(uint64_t id, bool whole, base::ConfigVersion sent, base::ConfigVersion have);
     void settle(Subscriber&);
-    const inner::ContentPiece& piece(base::ConfigVersion from);
+    const inner::EncodedVersion& piece(base::ConfigVersion from);
 
     kj::Timer& m_timer;
     DistributorLimits m_limits;
@@ -112,7 +112,7 @@
 
     std::shared_ptr<const config::Snapshot> m_content;
     std::map<base::ConfigVersion, std::shared_ptr<const config::Snapshot>> m_recent; // to make deltas from
-    std::map<base::ConfigVersion, inner::ContentPiece> m_pieces; // to m_content, by the version they start from
+    std::map<base::ConfigVersion, inner::EncodedVersion> m_pieces; // to m_content, by the version they start from
 
     // One batch of endpoints in bytes: most subscribers stand at the same change and get the same.
     struct Batch {
--- a/src/appletally/control/peer_link.cpp
+++ b/src/appletally/control/peer_link.cpp
@@ -17,7 +17,7 @@
     // Reports of many nodes leave as one message; the delay is part of an endpoint's way to the other nodes.
     constexpr base::Duration sharePause { 10 };
 
-    constexpr uint64_t patientEvery = 3; // connects; see patientConnectLimit
+    constexpr uint64_t patientEvery = 3; // connects; see longConnectTimeout
 
     // Voters find each other again quickly: until then a leader may lack its majority.
     constexpr int mostCountedFailures = 1; // waits of at most 200 ms; there are a dozen control processes and no herd
@@ -44,14 +44,14 @@
 kj::Promise<void> PeerLink::run()
 {
     const bool patient = ++m_connects % patientEvery == 0;
-    return inner::connect(m_io, m_membership, m_peer.address, inner::rpc::Role::PEER, patient ? inner::patientConnectLimit : inner::connectLimit)
+    return inner::connect(m_io, m_membership, m_peer.address, inner::rpc::Role::PEER, patient ? inner::longConnectTimeout : inner::connectTimeout)
         .then([this](base::Result<kj::Own<inner::RpcLink>> linked) -> kj::Promise<base::Error> {
             if (!linked)
                 return linked.error();
             m_link = kj::mv(linked.value());
             m_session = m_link->session.castAs<inner::rpc::Peer>();
             m_tasks->add(introduce());
-            return inner::whenOver(*m_link);
+            return inner::whenDisconnected(*m_link);
         })
         .then([this](const base::Error& problem) {
             lost(problem);
--- a/src/appletally/control/process.cpp
+++ b/src/appletally/control/process.cpp
@@ -383,13 +383,13 @@
 // Peers need a record only where it is new; else the sign of life will do, at a fifth of the bytes.
 inner::NodeReport ControlProcess::forPeers(const inner::NodeReport& report) const
 {
-    inner::NodeReport out { {}, report.inForce, report.evidence, {} };
-    for (const inner::EndpointSign& it : report.endpoints) {
+    inner::NodeReport out { {}, report.appliedVersions, report.evidence, {} };
+    for (const inner::EndpointHeartbeat& it : report.endpoints) {
         auto known = m_endpoints.entries.find(it.endpoint.host);
         const bool same = known != m_endpoints.entries.end() && !known->second.ranOut && known->second.endpoint.incarnation == it.endpoint.incarnation
             && known->second.endpoint.sequence == it.endpoint.sequence;
-        if (same && it.beat % wholeRecordEvery != 0)
-            out.renewals.push_back({ it.endpoint.host, it.endpoint.incarnation, it.endpoint.sequence, it.beat });
+        if (same && it.heartbeat % wholeRecordEvery != 0)
+            out.renewals.push_back({ it.endpoint.host, it.endpoint.incarnation, it.endpoint.sequence, it.heartbeat });
         else
             out.endpoints.push_back(it);
     }
@@ -400,13 +400,13 @@
 {
     const base::Time now = base::steadyNow();
     const uint64_t before = m_endpoints.lastChange;
-    for (const inner::EndpointSign& it : report.endpoints)
-        config::put(m_endpoints, it.endpoint, it.beat, now);
+    for (const inner::EndpointHeartbeat& it : report.endpoints)
+        config::put(m_endpoints, it.endpoint, it.heartbeat, now);
     for (const config::EndpointRenewal& it : report.renewals)
         config::renew(m_endpoints, it, now);
     if (m_endpoints.lastChange != before)
         m_distributor.endpointsChanged();
-    heard(m_convergence, report.inForce, now);
+    heard(m_convergence, report.appliedVersions, now);
     wakeInForceWaiters();
     inner::NodeReport evidence;
     evidence.evidence = report.evidence;
--- a/src/appletally/control/report_merge.cpp
+++ b/src/appletally/control/report_merge.cpp
@@ -5,9 +5,9 @@
 
 void add(PendingReport& pending, const inner::NodeReport& report)
 {
-    for (const inner::EndpointSign& it : report.endpoints) {
-        inner::EndpointSign& known = pending.endpoints[it.endpoint.host];
-        if (std::tuple(it.endpoint.incarnation, it.endpoint.sequence, it.beat) >= std::tuple(known.endpoint.incarnation, known.endpoint.sequence, known.beat))
+    for (const inner::EndpointHeartbeat& it : report.endpoints) {
+        inner::EndpointHeartbeat& known = pending.endpoints[it.endpoint.host];
+        if (std::tuple(it.endpoint.incarnation, it.endpoint.sequence, it.heartbeat) >= std::tuple(known.endpoint.incarnation, known.endpoint.sequence, known.heartbeat))
             known = it;
     }
     for (const config::EndpointRenewal& it : report.renewals) {
@@ -15,8 +15,8 @@
         if (std::tuple(it.incarnation, it.sequence, it.beat) >= std::tuple(known.incarnation, known.sequence, known.beat))
             known = it;
     }
-    for (const inner::NodeInForce& it : report.inForce) {
-        inner::NodeInForce& known = pending.inForce[it.host];
+    for (const inner::NodeAppliedVersion& it : report.appliedVersions) {
+        inner::NodeAppliedVersion& known = pending.inForce[it.host];
         if (std::tuple(it.incarnation, it.version) >= std::tuple(known.incarnation, known.version))
             known = it;
     }
@@ -35,7 +35,7 @@
     for (const auto& [key, it] : pending.renewals)
         out.renewals.push_back(it);
     for (const auto& [key, it] : pending.inForce)
-        out.inForce.push_back(it);
+        out.appliedVersions.push_back(it);
     for (const auto& [key, it] : pending.evidence)
         out.evidence.push_back(it);
     return out;
--- a/src/appletally/control/report_merge.h
+++ b/src/appletally/control/report_merge.h
@@ -11,9 +11,9 @@
 
 struct PendingReport {
     using EvidenceKey = std::tuple<base::HostId, base::Incarnation, base::ServiceName, base::RouteName, base::UpstreamVersion>;
-    std::map<base::HostId, inner::EndpointSign> endpoints;
+    std::map<base::HostId, inner::EndpointHeartbeat> endpoints;
     std::map<base::HostId, config::EndpointRenewal> renewals;
-    std::map<base::HostId, inner::NodeInForce> inForce;
+    std::map<base::HostId, inner::NodeAppliedVersion> inForce;
     std::map<EvidenceKey, config::Evidence> evidence;
     bool empty() const { return endpoints.empty() && inForce.empty() && evidence.empty() && renewals.empty(); }
 };
--- a/src/appletally/ctl/client.cpp
+++ b/src/appletally/ctl/client.cpp
@@ -71,7 +71,7 @@
     });
     return ask(link->session.castAs<inner::rpc::Operator>())
         .catch_([&address](kj::Exception&& problem) { return base::fail(base::Code::PeerGone, address.text() + ": " + inner::describe(problem)); })
-        .exclusiveJoin(inner::whenOver(*link))
+        .exclusiveJoin(inner::whenDisconnected(*link))
         .exclusiveJoin(kj::mv(late))
         .wait(m_io.waitScope);
 }
--- a/src/appletally/inner/content.cpp
+++ b/src/appletally/inner/content.cpp
@@ -5,14 +5,14 @@
 
 namespace appletally::inner {
 
-ContentPiece makePiece(const config::Snapshot& target, const config::Snapshot* from)
+EncodedVersion encodeVersion(const config::Snapshot& target, const config::Snapshot* from)
 {
     if (!from)
         return { target.version, {}, config::compress(config::encode(target)) };
     return { target.version, from->version, config::compress(config::encode(config::difference(*from, target))) };
 }
 
-base::Result<bool> apply(config::Applied& applied, const ContentPiece& piece)
+base::Result<bool> apply(config::Applied& applied, const EncodedVersion& piece)
 {
     auto plain = config::decompress(piece.bytes);
     if (!plain)
--- a/src/appletally/inner/content.h
+++ b/src/appletally/inner/content.h
@@ -8,15 +8,15 @@
 
 namespace appletally::inner {
 
-struct ContentPiece {
+struct EncodedVersion {
     base::ConfigVersion version;
     base::ConfigVersion from; // 0: whole
     std::string bytes; // compressed
 };
 
-ContentPiece makePiece(const config::Snapshot& target, const config::Snapshot* from); // null: whole
+EncodedVersion encodeVersion(const config::Snapshot& target, const config::Snapshot* from); // null: whole
 
 // Returns whether something new is in force. Errors as in config/applied.h, and MessageMalformed.
-base::Result<bool> apply(config::Applied&, const ContentPiece&);
+base::Result<bool> apply(config::Applied&, const EncodedVersion&);
 
 } // namespace appletally::inner
--- a/src/appletally/inner/control_link.cpp
+++ b/src/appletally/inner/control_link.cpp
@@ -84,7 +84,7 @@
             const uint64_t id = m_nextDump++;
             auto asked = kj::newPromiseAndFulfiller<kj::String>();
             m_dumps[id] = kj::mv(asked.fulfiller);
-            m_toNode.send(DumpAsked { id });
+            m_toNode.send(DumpRequested { id });
             return m_io.provider->getTimer()
                 .timeoutAfter(dumpLimit.ms * kj::MILLISECONDS, kj::mv(asked.promise))
                 .then([this](kj::String json) { return withLink(json.cStr()); }, [this](kj::Exception&&) { return withLink(R"({"node":"its task does not answer"})"); });
@@ -108,10 +108,10 @@
             }
             std::visit(Overloaded {
                            [this](const EndpointAnnounced& it) { m_client.announce(it.endpoint); },
-                           [this](const VersionInForce& it) { m_client.inForce(it.version); },
-                           [this](const EvidenceSeen& it) { m_client.saw(it.evidence); },
+                           [this](const AppliedVersionChanged& it) { m_client.setAppliedVersion(it.version); },
+                           [this](const EvidenceCollected& it) { m_client.reportEvidence(it.evidence); },
                            [this](const DumpAnswered& it) { answerDump(it); },
-                           [this](const SourcesNamed& it) { m_client.addSources(it.sources); },
+                           [this](const SourcesConfigured& it) { m_client.addSources(it.sources); },
                        },
                 std::get<FromNode>(message));
         }
--- a/src/appletally/inner/control_link.h
+++ b/src/appletally/inner/control_link.h
@@ -29,19 +29,19 @@
 struct ControlReachable {
     bool reachable = false; // false: no control process answered within its limit
 };
-struct DumpAsked {
+struct DumpRequested {
     uint64_t id = 0; // to be repeated in DumpAnswered
 };
-using ToNode = std::variant<SnapshotReleased, EndpointsChanged, ControlReachable, DumpAsked>;
+using ToNode = std::variant<SnapshotReleased, EndpointsChanged, ControlReachable, DumpRequested>;
 
 // From the node's task.
 struct EndpointAnnounced {
     config::Endpoint endpoint; // the link renews it by itself until the next one
 };
-struct VersionInForce {
+struct AppliedVersionChanged {
     base::ConfigVersion version;
 };
-struct EvidenceSeen {
+struct EvidenceCollected {
     std::vector<config::Evidence> evidence;
 };
 struct DumpAnswered {
@@ -49,10 +49,10 @@
     std::string json;
 };
 // The settings name further sources of content.
-struct SourcesNamed {
+struct SourcesConfigured {
     std::vector<base::Address> sources;
 };
-using FromNode = std::variant<EndpointAnnounced, VersionInForce, EvidenceSeen, DumpAnswered, SourcesNamed>;
+using FromNode = std::variant<EndpointAnnounced, AppliedVersionChanged, EvidenceCollected, DumpAnswered, SourcesConfigured>;
 
 struct ControlLinkSettings {
     Membership membership;
--- a/src/appletally/inner/node_link.cpp
+++ b/src/appletally/inner/node_link.cpp
@@ -62,7 +62,7 @@
                 bufferevent_set_timeouts(buffers, nullptr, nullptr);
                 static_cast<NodeLink*>(self)->greet();
             } else if (what & BEV_EVENT_TIMEOUT)
-                static_cast<NodeLink*>(self)->fail(base::fail(Code::PeerSilent, "no connection within " + std::to_string(connectLimit.ms) + " ms"));
+                static_cast<NodeLink*>(self)->fail(base::fail(Code::PeerSilent, "no connection within " + std::to_string(connectTimeout.ms) + " ms"));
             else if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
                 static_cast<NodeLink*>(self)->fail(base::fail(Code::PeerGone, "the connection closed"));
         },
@@ -74,7 +74,7 @@
 {
     std::unique_ptr<NodeLink> link(new NodeLink(loop, membership, std::move(handler), Side::Client));
     link->attach(-1);
-    const timeval limit = base::toTimeval(connectLimit);
+    const timeval limit = base::toTimeval(connectTimeout);
     bufferevent_set_timeouts(link->m_buffers, nullptr, &limit); // until it is connected
     sockaddr_in to {};
     to.sin_family = AF_INET;
--- a/src/appletally/inner/node_link.h
+++ b/src/appletally/inner/node_link.h
@@ -23,7 +23,7 @@
 
 constexpr base::Duration heartbeatEvery { 400 };
 constexpr base::Duration silenceLimit { 2000 }; // five heartbeats lost; a busy host's pauses stay well below
-constexpr base::Duration provenFresh { 1000 }; // heard from so lately that a request that must not be repeated may use it
+constexpr base::Duration maxFreshLinkAge { 1000 }; // heard from so lately that a request that must not be repeated may use it
 constexpr uint32_t mostGreetingBytes = 4096; // nobody who has not proved the key makes us hold more
 
 class NodeLink;
@@ -48,7 +48,7 @@
     void fail(base::Error); // `down` follows from the event loop
 
     bool isUp() const { return m_stage == Stage::Up && !m_failure; }
-    bool isFresh(base::Time now) const { return isUp() && now - m_lastHeard < provenFresh; }
+    bool isFresh(base::Time now) const { return isUp() && now - m_lastHeard < maxFreshLinkAge; }
     const base::HostId& peer() const { return m_peer; } // empty before `up`
     size_t backlog() const; // bytes that wait for the socket
 
--- a/src/appletally/inner/rpc_connection.cpp
+++ b/src/appletally/inner/rpc_connection.cpp
@@ -131,9 +131,9 @@
 
     kj::Promise<base::Error> beat(rpc::Pulse::Client peer)
     {
-        return timer.afterDelay(rpcBeatEvery.ms * kj::MILLISECONDS).then([this, peer]() mutable -> kj::Promise<base::Error> {
-            if (base::steadyNow() - counted.lastRead > rpcSilenceLimit)
-                return base::fail(base::Code::PeerSilent, "no byte within " + std::to_string(rpcSilenceLimit.ms) + " ms");
+        return timer.afterDelay(rpcHeartbeatInterval.ms * kj::MILLISECONDS).then([this, peer]() mutable -> kj::Promise<base::Error> {
+            if (base::steadyNow() - counted.lastRead > rpcSilenceTimeout)
+                return base::fail(base::Code::PeerSilent, "no byte within " + std::to_string(rpcSilenceTimeout.ms) + " ms");
             if (!beating) {
                 beating = true; // one at a time: beats must not pile up in front of a peer that reads nothing
                 pending = peer.beatRequest().send().ignoreResult().then([this] { beating = false; }, [](kj::Exception&&) {}).eagerlyEvaluate(nullptr);
--- a/src/appletally/inner/rpc_connection.h
+++ b/src/appletally/inner/rpc_connection.h
@@ -1,7 +1,7 @@
 // One TCP connection that speaks Cap'n Proto RPC: counts bytes, notes why it ended, beats and watches for silence.
 //
 // A connection may go silent for good without either end being told, because something between them lost track of it.
-// Calls on it would then wait for ever. Every byte read is a sign of life; a connection without one for rpcSilenceLimit
+// Calls on it would then wait for ever. Every byte read is a sign of life; a connection without one for rpcSilenceTimeout
 // ends with PeerSilent, and whoever owns it makes a new one.
 #pragma once
 
--- a/src/appletally/inner/rpc_link.cpp
+++ b/src/appletally/inner/rpc_link.cpp
@@ -99,7 +99,7 @@
         .catch_([address](kj::Exception&& problem) -> Outcome { return base::fail(base::Code::PeerGone, address.text() + ": " + describe(problem)); });
 }
 
-kj::Promise<base::Error> whenOver(RpcLink& link)
+kj::Promise<base::Error> whenDisconnected(RpcLink& link)
 {
     return link.connection->ended().exclusiveJoin(link.connection->beat(link.session));
 }
--- a/src/appletally/inner/rpc_port.cpp
+++ b/src/appletally/inner/rpc_port.cpp
@@ -88,7 +88,7 @@
         served->proven = true;
         served->who.text = m_who;
         served->role = m_role;
-        ++m_port.m_counters.proven;
+        ++m_port.m_counters.authenticated;
         --m_port.m_unproven;
         const uint64_t id = m_id;
         RpcPort& port = m_port;
@@ -181,7 +181,7 @@
 {
     ++m_counters.accepted;
     if (m_unproven >= mostUnproven) {
-        ++m_counters.unproven;
+        ++m_counters.unauthenticated;
         return; // closes it
     }
     const int one = 1;
@@ -197,7 +197,7 @@
         const Served* it = find(id);
         if (!it || it->proven)
             return;
-        ++m_counters.unproven;
+        ++m_counters.unauthenticated;
         shed(id, base::fail(base::Code::WrongKey, "no proof within " + std::to_string(proofLimit.ms) + " ms"));
     }));
 }
@@ -247,8 +247,8 @@
         sum.bytesOut += it->connection->bytesOut();
         links.push_back({ { "peer", it->who.text }, { "silent_ms", it->connection->silence().ms }, { "bytes_in", it->connection->bytesIn() }, { "bytes_out", it->connection->bytesOut() } });
     }
-    return { { "accepted", sum.accepted }, { "proven", sum.proven }, { "wrong_cluster", sum.wrongCluster }, { "wrong_key", sum.wrongKey },
-        { "malformed", sum.malformed }, { "too_large", sum.tooLarge }, { "unproven", sum.unproven }, { "silent", sum.silent },
+    return { { "accepted", sum.accepted }, { "proven", sum.authenticated }, { "wrong_cluster", sum.wrongCluster }, { "wrong_key", sum.wrongKey },
+        { "malformed", sum.malformed }, { "too_large", sum.tooLarge }, { "unproven", sum.unauthenticated }, { "silent", sum.silent },
         { "bytes_in", sum.bytesIn }, { "bytes_out", sum.bytesOut }, { "links", std::move(links) } };
 }
 
--- a/src/appletally/inner/rpc_port.h
+++ b/src/appletally/inner/rpc_port.h
@@ -16,12 +16,12 @@
 
 struct PortCounters {
     uint64_t accepted = 0;
-    uint64_t proven = 0;
+    uint64_t authenticated = 0;
     uint64_t wrongCluster = 0;
     uint64_t wrongKey = 0;
     uint64_t malformed = 0;
     uint64_t tooLarge = 0;
-    uint64_t unproven = 0; // shed: no proof within proofLimit, or too many at once
+    uint64_t unauthenticated = 0; // shed: no proof within proofLimit, or too many at once
     uint64_t silent = 0;
     uint64_t bytesIn = 0; // of closed links; toJson() adds the open ones
     uint64_t bytesOut = 0;
--- a/src/appletally/inner/rpc_wire.cpp
+++ b/src/appletally/inner/rpc_wire.cpp
@@ -143,7 +143,7 @@
     return out;
 }
 
-static void write(rpc::InForce::Builder out, const NodeInForce& in)
+static void write(rpc::InForce::Builder out, const NodeAppliedVersion& in)
 {
     out.setHost(in.host.text);
     out.setIncarnation(in.incarnation.value);
@@ -152,7 +152,7 @@
     out.setLeft(in.left);
 }
 
-static NodeInForce read(rpc::InForce::Reader in)
+static NodeAppliedVersion read(rpc::InForce::Reader in)
 {
     return { { text(in.getHost()) }, { in.getIncarnation() }, { in.getVersion() }, { in.getSinceMs() }, in.getLeft() };
 }
@@ -162,14 +162,14 @@
     auto endpoints = out.initEndpoints(static_cast<kj::uint>(in.endpoints.size()));
     for (kj::uint n = 0; n < endpoints.size(); ++n) {
         write(endpoints[n], in.endpoints[n].endpoint);
-        endpoints[n].setBeat(in.endpoints[n].beat);
+        endpoints[n].setBeat(in.endpoints[n].heartbeat);
     }
     auto renewals = out.initRenewals(static_cast<kj::uint>(in.renewals.size()));
     for (kj::uint n = 0; n < renewals.size(); ++n)
         write(renewals[n], in.renewals[n]);
-    auto inForce = out.initInForce(static_cast<kj::uint>(in.inForce.size()));
+    auto inForce = out.initInForce(static_cast<kj::uint>(in.appliedVersions.size()));
     for (kj::uint n = 0; n < inForce.size(); ++n)
-        write(inForce[n], in.inForce[n]);
+        write(inForce[n], in.appliedVersions[n]);
     auto evidence = out.initEvidence(static_cast<kj::uint>(in.evidence.size()));
     for (kj::uint n = 0; n < evidence.size(); ++n)
         write(evidence[n], in.evidence[n]);
@@ -183,7 +183,7 @@
     for (rpc::Renewal::Reader it : in.getRenewals())
         out.renewals.push_back(read(it));
     for (rpc::InForce::Reader it : in.getInForce())
-        out.inForce.push_back(read(it));
+        out.appliedVersions.push_back(read(it));
     for (rpc::Evidence::Reader it : in.getEvidence())
         out.evidence.push_back(read(it));
     return out;
--- a/src/appletally/inner/rpc_wire.h
+++ b/src/appletally/inner/rpc_wire.h
@@ -13,7 +13,7 @@
 namespace appletally::inner {
 
 // A version that a node says it has in force.
-struct NodeInForce {
+struct NodeAppliedVersion {
     base::HostId host;
     base::Incarnation incarnation;
     base::ConfigVersion version;
@@ -22,18 +22,18 @@
 };
 
 // An endpoint with its writer's sign of life; see config/endpoint_registry.h.
-struct EndpointSign {
+struct EndpointHeartbeat {
     config::Endpoint endpoint;
-    uint64_t beat = 0;
+    uint64_t heartbeat = 0;
 };
 
 // What a node tells its source and control processes tell each other.
 struct NodeReport {
-    std::vector<EndpointSign> endpoints;
-    std::vector<NodeInForce> inForce;
+    std::vector<EndpointHeartbeat> endpoints;
+    std::vector<NodeAppliedVersion> appliedVersions;
     std::vector<config::Evidence> evidence;
     std::vector<config::EndpointRenewal> renewals;
-    bool empty() const { return endpoints.empty() && inForce.empty() && evidence.empty() && renewals.empty(); }
+    bool empty() const { return endpoints.empty() && appliedVersions.empty() && evidence.empty() && renewals.empty(); }
 };
 
 void write(rpc::Failure::Builder, const base::Error&);
--- a/src/appletally/inner/source_client.cpp
+++ b/src/appletally/inner/source_client.cpp
@@ -150,7 +150,7 @@
 kj::Promise<void> SourceClient::attempt(size_t source)
 {
     ++m_counters.connects;
-    return dial(m_io, m_sources[source], patientConnectLimit)
+    return dial(m_io, m_sources[source], longConnectTimeout)
         .then(
             [this, source](kj::Own<kj::AsyncIoStream> stream) {
                 m_connected = kj::mv(stream);
@@ -181,7 +181,7 @@
     m_linkTasks->add(subscribe().catch_([this](kj::Exception&& problem) {
         m_refused->fulfill(base::fail(base::Code::PeerGone, describe(problem)));
     }));
-    return whenOver(*m_link).exclusiveJoin(kj::mv(refused.promise));
+    return whenDisconnected(*m_link).exclusiveJoin(kj::mv(refused.promise));
 }
 
 kj::Promise<void> SourceClient::subscribe()
@@ -196,7 +196,7 @@
             const base::Error problem = read(answer.getFailure());
             const bool isolated = problem.code == base::Code::SourceIsolated;
             if (isolated || problem.code == base::Code::ComeBackLater) {
-                ++m_counters.cameBackLater;
+                ++m_counters.retryLaterResponses;
                 m_refusal = policy::SourceRefusal { problem.retryAfter, isolated };
             }
             return KJ_EXCEPTION(OVERLOADED, "refused by the source", problem.text);
@@ -260,11 +260,11 @@
 
 base::ConfigVersion SourceClient::take(rpc::Content::Reader in)
 {
-    const ContentPiece piece { { in.getVersion() }, { in.getFrom() }, bytes(in.getBytes()) };
+    const EncodedVersion piece { { in.getVersion() }, { in.getFrom() }, bytes(in.getBytes()) };
     const auto taken = apply(m_applied, piece);
     if (!taken) {
         const bool misfit = taken.error().code == base::Code::DeltaDoesNotFit;
-        ++(misfit ? m_counters.misfits : m_counters.refused);
+        ++(misfit ? m_counters.mismatches : m_counters.refused);
         if (taken.error().code != base::Code::VersionTooOld) // late or doubled: nothing to see
             base::logEvent(base::Event::VersionRefused, "version " + std::to_string(in.getVersion()) + ": " + taken.error().text);
         return misfit ? base::ConfigVersion {} : heldVersion(m_applied); // after a misfit only a whole snapshot helps
@@ -302,7 +302,7 @@
     if (news)
         tellEndpoints(news.value());
     else
-        ++m_counters.endpointMisfits; // the cursor that goes back with the answer asks for what is missing
+        ++m_counters.endpointMismatches; // the cursor that goes back with the answer asks for what is missing
 }
 
 void SourceClient::tellEndpoints(const std::vector<config::Endpoint>& news)
@@ -315,25 +315,25 @@
 
 void SourceClient::announce(const config::Endpoint& endpoint)
 {
-    EndpointSign& known = m_endpoints[endpoint.host];
+    EndpointHeartbeat& known = m_endpoints[endpoint.host];
     if (std::tuple(known.endpoint.incarnation, known.endpoint.sequence) != std::tuple(endpoint.incarnation, endpoint.sequence))
-        known.beat = 0;
+        known.heartbeat = 0;
     known.endpoint = endpoint;
     m_endpointsDirty = true;
     sendReport();
 }
 
-void SourceClient::inForce(base::ConfigVersion version)
+void SourceClient::setAppliedVersion(base::ConfigVersion version)
 {
     if (!m_inForce)
-        m_inForce = NodeInForce { m_settings.membership.host, { static_cast<uint64_t>(m_started.ms) }, {}, {}, false };
+        m_inForce = NodeAppliedVersion { m_settings.membership.host, { static_cast<uint64_t>(m_started.ms) }, {}, {}, false };
     m_inForce->version = version;
     m_inForceSince = base::steadyNow();
     m_inForceDirty = true;
     sendReport();
 }
 
-void SourceClient::saw(const std::vector<config::Evidence>& evidence)
+void SourceClient::reportEvidence(const std::vector<config::Evidence>& evidence)
 {
     for (const config::Evidence& it : evidence) {
         const EvidenceKey key { it.incarnation, it.service, it.route, it.version };
@@ -348,13 +348,13 @@
     NodeReport out;
     if (std::exchange(m_endpointsDirty, false)) {
         for (auto& [host, it] : m_endpoints) {
-            ++it.beat;
+            ++it.heartbeat;
             out.endpoints.push_back(it);
         }
     }
     if (std::exchange(m_inForceDirty, false)) {
-        out.inForce.push_back(*m_inForce);
-        out.inForce.back().since = base::steadyNow() - m_inForceSince;
+        out.appliedVersions.push_back(*m_inForce);
+        out.appliedVersions.back().since = base::steadyNow() - m_inForceSince;
     }
     for (const auto& [key, it] : std::exchange(m_evidenceDirty, {}))
         out.evidence.push_back(m_evidence[key]);
@@ -399,7 +399,7 @@
     for (auto& [host, it] : m_endpoints) {
         it.endpoint.state = config::EndpointState::Gone;
         ++it.endpoint.sequence.value;
-        it.beat = 0;
+        it.heartbeat = 0;
     }
     if (m_inForce)
         m_inForce->left = true;
@@ -428,8 +428,8 @@
     const SourceClientCounters sum = counters();
     return { { "source", m_link.get() != nullptr ? m_link->address.text() : "" }, { "subscribed", m_subscribed }, { "held", heldVersion(m_applied).value },
         { "in_force", versionInForce(m_applied).value }, { "floor", m_applied.floor ? nlohmann::json(m_applied.floor->value) : nlohmann::json() }, { "refusal", m_applied.refusal }, { "connects", sum.connects }, { "links", sum.links },
-        { "came_back_later", sum.cameBackLater }, { "snapshots", sum.snapshots }, { "deltas", sum.deltas }, { "misfits", sum.misfits }, { "refused", sum.refused },
-        { "endpoints", m_mirror.entries.size() }, { "endpoint_misfits", sum.endpointMisfits }, { "bytes_in", sum.bytesIn }, { "bytes_out", sum.bytesOut } };
+        { "came_back_later", sum.retryLaterResponses }, { "snapshots", sum.snapshots }, { "deltas", sum.deltas }, { "misfits", sum.mismatches }, { "refused", sum.refused },
+        { "endpoints", m_mirror.entries.size() }, { "endpoint_misfits", sum.endpointMismatches }, { "bytes_in", sum.bytesIn }, { "bytes_out", sum.bytesOut } };
 }
 
 } // namespace appletally::inner
--- a/src/appletally/inner/source_client.h
+++ b/src/appletally/inner/source_client.h
@@ -40,12 +40,12 @@
 struct SourceClientCounters {
     uint64_t connects = 0; // tries
     uint64_t links = 0; // proven and subscribed
-    uint64_t cameBackLater = 0; // told to
+    uint64_t retryLaterResponses = 0; // told to
     uint64_t snapshots = 0; // whole ones taken
     uint64_t deltas = 0;
-    uint64_t misfits = 0; // deltas that did not fit
+    uint64_t mismatches = 0; // deltas that did not fit
     uint64_t refused = 0; // versions that failed their check, or older ones
-    uint64_t endpointMisfits = 0; // batches that did not fit
+    uint64_t endpointMismatches = 0; // batches that did not fit
     uint64_t bytesIn = 0; // of past links
     uint64_t bytesOut = 0;
 };
@@ -59,8 +59,8 @@
 
     // Each replaces what was said of the same host or counter before; sent batched, and again after each new link.
     void announce(const config::Endpoint&);
-    void inForce(base::ConfigVersion);
-    void saw(const std::vector<config::Evidence>&);
+    void setAppliedVersion(base::ConfigVersion);
+    void reportEvidence(const std::vector<config::Evidence>&);
 
     // Says Gone and waits for the answer, at most `bound`.
     kj::Promise<void> leave(base::Duration bound);
@@ -115,8 +115,8 @@
     base::Time m_linkedSince;
 
     // Reports. Kept whole, so that a new source learns all of it.
-    std::map<base::HostId, EndpointSign> m_endpoints;
-    std::optional<NodeInForce> m_inForce;
+    std::map<base::HostId, EndpointHeartbeat> m_endpoints;
+    std::optional<NodeAppliedVersion> m_inForce;
     base::Time m_inForceSince;
     base::WallTime m_started; // stands for this process's incarnation
     std::map<EvidenceKey, config::Evidence> m_evidence;
--- a/src/appletally/node/node.cpp
+++ b/src/appletally/node/node.cpp
@@ -96,7 +96,7 @@
     m_owner.apply(m_snapshot);
     m_ingress.apply(m_snapshot);
     base::logEvent(Event::VersionApplied, std::to_string(m_snapshot->version.value));
-    m_toControl(inner::VersionInForce { m_snapshot->version });
+    m_toControl(inner::AppliedVersionChanged { m_snapshot->version });
     openForCallers();
 }
 
@@ -126,7 +126,7 @@
     m_ingress.setConfigurationExpected(message.reachable);
 }
 
-void Node::onMessage(const inner::DumpAsked& message) { m_toControl(inner::DumpAnswered { message.id, config::encode(toJson()) }); }
+void Node::onMessage(const inner::DumpRequested& message) { m_toControl(inner::DumpAnswered { message.id, config::encode(toJson()) }); }
 
 void Node::announceEndpoint()
 {
@@ -157,7 +157,7 @@
         m_reportedAt = now;
         std::vector<config::Evidence> evidence = m_owner.takeEvidence();
         if (!evidence.empty())
-            m_toControl(inner::EvidenceSeen { std::move(evidence) });
+            m_toControl(inner::EvidenceCollected { std::move(evidence) });
     }
     if (!m_stopped)
         return;
--- a/src/appletally/node/node.h
+++ b/src/appletally/node/node.h
@@ -50,7 +50,7 @@
     void onMessage(const inner::SnapshotReleased&);
     void onMessage(const inner::EndpointsChanged&);
     void onMessage(const inner::ControlReachable&);
-    void onMessage(const inner::DumpAsked&);
+    void onMessage(const inner::DumpRequested&);
     void announceEndpoint();
     void openForCallers();
     void onTick();
--- a/src/appletally/node/peers.cpp
+++ b/src/appletally/node/peers.cpp
@@ -276,7 +276,7 @@
     const auto before = std::move(m_suspects);
     m_suspects.clear();
     for (const auto& [host, it] : m_current) {
-        const bool silent = it->link->isUp() ? !it->link->isFresh(now) : now - it->dialedAt > inner::provenFresh;
+        const bool silent = it->link->isUp() ? !it->link->isFresh(now) : now - it->dialedAt > inner::maxFreshLinkAge;
         if (silent)
             m_suspects.push_back(host);
     }
--- a/src/appletally/node/peers.h
+++ b/src/appletally/node/peers.h
@@ -33,7 +33,7 @@
     void consumed(PeerCallId, uint64_t bytes);
 
     void askClaim(const base::HostId&, const base::Address&, const std::string& body, OnClaimAnswer);
-    // Hosts from which nothing has come for provenFresh, though their links are not yet given up. What may be sent twice
+    // Hosts from which nothing has come for maxFreshLinkAge, though their links are not yet given up. What may be sent twice
     // should go elsewhere now; what may not waits for the link's own limit, since giving it up makes its outcome unknown.
     const std::vector<base::HostId>& suspects() const { return m_suspects; }
     size_t links() const { return m_links.size(); }
--- a/tests/at_most_once_test.cpp
+++ b/tests/at_most_once_test.cpp
@@ -199,7 +199,7 @@
         old.status = bothFail ? 500 : 200;
         const int before = fresh.runs;
         ask(200);
-        b.fromControl.send(inner::DumpAsked { 1 });
+        b.fromControl.send(inner::DumpRequested { 1 });
         event_base_loop(mesh.loop(), EVLOOP_NONBLOCK);
         const auto versions = base::Json::parse(std::get<inner::DumpAnswered>(b.toControl.back()).json)["owner"]["versions"];
         INFO(versions.dump());
--- a/tests/control_distribution_test.cpp
+++ b/tests/control_distribution_test.cpp
@@ -6,7 +6,7 @@
 #include "appletally/inner/rpc_port.h"
 #include "appletally/inner/source_client.h"
 #include "control_fixture.h"
-#include "deaf_address.h"
+#include "unresponsive_address.h"
 
 #include <catch2/catch.hpp>
 #include <kj/timer.h>
@@ -349,7 +349,7 @@
     // All hosts lose power; nodes are up again while control hosts are not. What a node sends to such a host is lost without a
     // word and sent again a second later. Control was there meanwhile, and callers were turned away for that second.
     auto io = kj::setupAsyncIo();
-    DeafAddress deaf;
+    UnresponsiveAddress deaf;
     TestSource well(io, wide());
     well.distributor.contentReleased(snapshot(2));
     constexpr int nodes = 8; // half of them begin with the deaf one
--- a/tests/control_gate_test.cpp
+++ b/tests/control_gate_test.cpp
@@ -73,7 +73,7 @@
     CHECK(otherKey.error().code == base::Code::WrongKey);
 
     it.works(*good.value());
-    CHECK(it.port.counters().proven == 1);
+    CHECK(it.port.counters().authenticated == 1);
     CHECK(it.port.counters().wrongCluster == 1);
 }
 
@@ -100,7 +100,7 @@
     again.setProof(kj::heapArray<kj::byte>(macBytes));
     CHECK(again.send().wait(it.io.waitScope).getFailure().getCode() == static_cast<uint16_t>(base::Code::MessageMalformed));
     connection.ended().wait(it.io.waitScope);
-    CHECK(it.port.counters().proven == 0);
+    CHECK(it.port.counters().authenticated == 0);
 }
 
 TEST_CASE("garbage and messages over the limit close their own connection only", "[control][gate]")
@@ -137,7 +137,7 @@
     PortFixture it;
     auto stream = it.raw();
     CHECK(it.closes(*stream));
-    CHECK(it.port.counters().unproven == 1);
+    CHECK(it.port.counters().unauthenticated == 1);
     CHECK(it.link(member("mesh", 1)));
 }
 
@@ -173,11 +173,11 @@
     auto linked = connect(it.io, member("mesh", 1), middle, rpc::Role::NODE).wait(it.io.waitScope);
     REQUIRE(linked);
     it.works(*linked.value());
-    auto over = whenOver(*linked.value());
+    auto over = whenDisconnected(*linked.value());
     forgotten = true;
     const base::Time began = base::steadyNow();
     CHECK(over.wait(it.io.waitScope).code == base::Code::PeerSilent);
-    CHECK(base::steadyNow() - began < rpcSilenceLimit + rpcBeatEvery * 3);
+    CHECK(base::steadyNow() - began < rpcSilenceTimeout + rpcHeartbeatInterval * 3);
     while (it.port.counters().silent == 0)
         it.io.provider->getTimer().afterDelay(10 * kj::MILLISECONDS).wait(it.io.waitScope);
     CHECK(it.link(member("mesh", 1))); // a new connection works
--- a/tests/edge_test.cpp
+++ b/tests/edge_test.cpp
@@ -131,7 +131,7 @@
     const std::string request = "GET /archive/2026 HTTP/1.1\r\nHost: a\r\n\r\n";
     evbuffer_add(bufferevent_get_output(raw), request.data(), request.size());
     const auto dump = [&] {
-        edge.node->fromControl.send(inner::DumpAsked { 1 });
+        edge.node->fromControl.send(inner::DumpRequested { 1 });
         event_base_loop(edge.mesh.loop(), EVLOOP_NONBLOCK);
         return base::Json::parse(std::get<inner::DumpAnswered>(edge.node->toControl.back()).json);
     };
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -1,6 +1,6 @@
 // The call path through two nodes: what callers get, and what they get when something on the way breaks.
-#include "deaf_address.h"
 #include "node_fixture.h"
+#include "unresponsive_address.h"
 
 #include <catch2/catch.hpp>
 
@@ -209,7 +209,7 @@
     it.b.fromControl.send(inner::EndpointsChanged { { old } });
     for (int n = 0; n < 20; ++n)
         CHECK(it.ask("GET", "/berths/7")->status == 200);
-    it.b.fromControl.send(inner::DumpAsked { 1 });
+    it.b.fromControl.send(inner::DumpRequested { 1 });
     REQUIRE(it.mesh.run([&] { return std::holds_alternative<inner::DumpAnswered>(it.b.toControl.back()); }));
     const auto dump = base::Json::parse(std::get<inner::DumpAnswered>(it.b.toControl.back()).json);
     CHECK(dump["ingress"]["counts"]["retried"] <= 2); // it is left alone once it has said so
@@ -224,7 +224,7 @@
     const auto reported = [&] {
         uint64_t answers = 0;
         for (const inner::FromNode& message : it.a.toControl) {
-            const auto* seen = std::get_if<inner::EvidenceSeen>(&message);
+            const auto* seen = std::get_if<inner::EvidenceCollected>(&message);
             for (const config::Evidence& each : seen ? seen->evidence : std::vector<config::Evidence> {})
                 answers = std::max(answers, each.answers + each.coldAnswers);
         }
@@ -246,7 +246,7 @@
     // A host loses power; its record runs out after seconds. A node that has no link to it yet sends a request there: nothing
     // comes back, not even a refusal, and the caller waited for a second or until its time was over beside an idle upstream.
     Pair it;
-    DeafAddress deaf;
+    UnresponsiveAddress deaf;
     config::Endpoint dark;
     for (const inner::FromNode& message : it.a.toControl) {
         if (const auto* announced = std::get_if<inner::EndpointAnnounced>(&message))
--- a/tests/shared_read_test.cpp
+++ b/tests/shared_read_test.cpp
@@ -27,7 +27,7 @@
 
     base::Json dump()
     {
-        node.fromControl.send(inner::DumpAsked { 1 });
+        node.fromControl.send(inner::DumpRequested { 1 });
         event_base_loop(mesh.loop(), EVLOOP_NONBLOCK);
         return base::Json::parse(std::get<inner::DumpAnswered>(node.toControl.back()).json);
     }
@@ -120,7 +120,7 @@
         CHECK(ask(n) == 200);
     CHECK(paused.held.size() == 1);
     const auto running = [&] {
-        a.fromControl.send(inner::DumpAsked { 1 });
+        a.fromControl.send(inner::DumpRequested { 1 });
         event_base_loop(mesh.loop(), EVLOOP_NONBLOCK);
         return base::Json::parse(std::get<inner::DumpAnswered>(a.toControl.back()).json)["owner"]["load"]["running"].get<int>();
     };
--- a/tests/deaf_address.h
+++ b/tests/unresponsive_address.h
@@ -11,9 +11,9 @@
 #include <vector>
 
 // A listener whose queue of connections is full and that accepts none: the kernel drops what else comes.
-class DeafAddress {
+class UnresponsiveAddress {
 public:
-    DeafAddress()
+    UnresponsiveAddress()
     {
         m_sockets.push_back(socket(AF_INET, SOCK_STREAM, 0));
         sockaddr_in at {};
@@ -30,13 +30,13 @@
             (void)connect(m_sockets.back(), reinterpret_cast<sockaddr*>(&at), sizeof at); // those that do not fit stay under way
         }
     }
-    ~DeafAddress()
+    ~UnresponsiveAddress()
     {
         for (const int it : m_sockets)
             close(it);
     }
-    DeafAddress(const DeafAddress&) = delete;
-    DeafAddress& operator=(const DeafAddress&) = delete;
+    UnresponsiveAddress(const UnresponsiveAddress&) = delete;
+    UnresponsiveAddress& operator=(const UnresponsiveAddress&) = delete;
 
     appletally::base::Address address;
 
