--- a/src/appletally/inner/claim.capnp
+++ b/src/appletally/inner/claim.capnp
@@ -1,5 +1,5 @@
-# What owners' nodes and keepers say to each other about claims; the body of a link's claim message.
-# Field by field the structs of policy/claim_keeper.h.
+# Messages about claims between owners' nodes and keepers; the body of a link's claim message.
+# The structs correspond field by field to those of policy/claim_keeper.h.
 @0xa6f1c93b7d0e5582;
 
 using Cxx = import "/capnp/c++.capnp";
@@ -89,7 +89,7 @@
   host @0 :Text;
   incarnation @1 :UInt64;
   set @2 :KeeperSet;
-  after @3 :ClaimKey;       # absent: the first page
+  after @3 :ClaimKey;       # absent: request the first page
 }
 
 struct ClaimHolder {
--- a/src/appletally/inner/cluster_key.cpp
+++ b/src/appletally/inner/cluster_key.cpp
@@ -1,4 +1,4 @@
-// The proof of the cluster's key, by libsodium.
+// Parsing and proof of the cluster key, with libsodium.
 #include "appletally/inner/cluster_key.h"
 
 #include <sodium.h>
@@ -15,14 +15,14 @@
     return out;
 }
 
-Nonce freshNonce()
+Nonce generateNonce()
 {
     Nonce out;
     randombytes_buf(out.data(), out.size());
     return out;
 }
 
-static std::string proven(const Membership& membership, Side side, const Nonce& client, const Nonce& server, std::string_view who)
+static std::string proofInput(const Membership& membership, Side side, const Nonce& client, const Nonce& server, std::string_view who)
 {
     std::string text(1, static_cast<char>(side));
     text.append(client.begin(), client.end());
@@ -32,17 +32,17 @@
     return text;
 }
 
-Mac prove(const Membership& membership, Side side, const Nonce& client, const Nonce& server, std::string_view who)
+Mac makeProof(const Membership& membership, Side side, const Nonce& client, const Nonce& server, std::string_view who)
 {
-    const std::string text = proven(membership, side, client, server, who);
+    const std::string text = proofInput(membership, side, client, server, who);
     Mac out;
     crypto_auth(out.data(), reinterpret_cast<const uint8_t*>(text.data()), text.size(), membership.key.bytes.data());
     return out;
 }
 
-bool holds(const Membership& membership, Side side, const Nonce& client, const Nonce& server, std::string_view who, const Mac& mac)
+bool verifyProof(const Membership& membership, Side side, const Nonce& client, const Nonce& server, std::string_view who, const Mac& mac)
 {
-    const std::string text = proven(membership, side, client, server, who);
+    const std::string text = proofInput(membership, side, client, server, who);
     return crypto_auth_verify(mac.data(), reinterpret_cast<const uint8_t*>(text.data()), text.size(), membership.key.bytes.data()) == 0;
 }
 
--- a/src/appletally/inner/cluster_key.h
+++ b/src/appletally/inner/cluster_key.h
@@ -1,7 +1,7 @@
-// Admission to the inner ports: only holders of the cluster's key get past the first messages.
+// Mutual authentication on the inner ports: only holders of the cluster key get past the handshake.
 //
-// Both sides prove the key over the other's fresh nonce, so that a recorded greeting is of no use later. The key does
-// not hide what is sent; until something better is there, the inner network has to be a private one.
+// Each side computes a MAC over the other's fresh nonce, so that a recorded handshake cannot be replayed. The key
+// authenticates but does not encrypt, so the inner network has to be a private one.
 #pragma once
 
 #include "appletally/base/ids.h"
@@ -14,7 +14,7 @@
 
 namespace appletally::inner {
 
-constexpr size_t keyBytes = 32; // what libsodium's crypto_auth (HMAC-SHA512-256) takes
+constexpr size_t keyBytes = 32; // key size of libsodium's crypto_auth (HMAC-SHA512-256)
 constexpr size_t nonceBytes = 32;
 constexpr size_t macBytes = 32;
 
@@ -25,20 +25,20 @@
     std::array<uint8_t, keyBytes> bytes {};
 };
 
-// Which cluster a process belongs to and how it proves that.
+// The cluster that a process belongs to, and its credentials.
 struct Membership {
     base::ClusterId cluster;
     ClusterKey key;
-    base::HostId host; // this process's own
+    base::HostId host; // of this process
 };
 
 enum class Side : uint8_t { Client = 1,
-    Server = 2 }; // in the MAC, so that an answer cannot be reflected as a greeting
+    Server = 2 }; // part of the MAC, so that a server's proof cannot be reflected as a client's
 
 base::Result<ClusterKey> parseClusterKey(const std::string& hex); // 64 hex digits
-Nonce freshNonce();
-Mac prove(const Membership&, Side, const Nonce& client, const Nonce& server, std::string_view who);
-bool holds(const Membership&, Side, const Nonce& client, const Nonce& server, std::string_view who, const Mac&); // constant time
-uint64_t randomNumber(); // never 0; for attempt ids, replica ids and incarnations' tie breaks
+Nonce generateNonce();
+Mac makeProof(const Membership&, Side, const Nonce& client, const Nonce& server, std::string_view who);
+bool verifyProof(const Membership&, Side, const Nonce& client, const Nonce& server, std::string_view who, const Mac&); // constant time
+uint64_t randomNumber(); // never 0; for attempt ids, replica ids and tie-breaking between incarnations
 
 } // namespace appletally::inner
--- a/src/appletally/inner/content.cpp
+++ b/src/appletally/inner/content.cpp
@@ -1,4 +1,4 @@
-// Snapshots and deltas to compressed bytes and back.
+// Encoding and decoding of snapshots and deltas.
 #include "appletally/inner/content.h"
 
 #include "appletally/config/codec.h"
@@ -12,12 +12,12 @@
     return { target.version, from->version, config::compress(config::encode(config::difference(*from, target))) };
 }
 
-base::Result<bool> apply(config::Applied& applied, const EncodedVersion& piece)
+base::Result<bool> apply(config::Applied& applied, const EncodedVersion& encoded)
 {
-    auto plain = config::decompress(piece.bytes);
+    auto plain = config::decompress(encoded.bytes);
     if (!plain)
         return plain.error();
-    if (piece.from.value == 0) {
+    if (encoded.from.value == 0) {
         auto snapshot = config::decodeSnapshot(plain.value());
         if (!snapshot)
             return snapshot.error();
--- a/src/appletally/inner/content.h
+++ b/src/appletally/inner/content.h
@@ -1,4 +1,4 @@
-// A configuration version as it travels: whole or as a delta from another version, compressed.
+// A configuration version as sent between processes: a full snapshot or a delta from another version, compressed.
 #pragma once
 
 #include "appletally/base/result.h"
@@ -10,13 +10,13 @@
 
 struct EncodedVersion {
     base::ConfigVersion version;
-    base::ConfigVersion from; // 0: whole
+    base::ConfigVersion from; // 0: full snapshot
     std::string bytes; // compressed
 };
 
-EncodedVersion encodeVersion(const config::Snapshot& target, const config::Snapshot* from); // null: whole
+EncodedVersion encodeVersion(const config::Snapshot& target, const config::Snapshot* from); // null: full snapshot
 
-// Returns whether something new is in force. Errors as in config/applied.h, and MessageMalformed.
+// Returns whether a new version was applied. Errors as in config/applied.h, and MessageMalformed.
 base::Result<bool> apply(config::Applied&, const EncodedVersion&);
 
 } // namespace appletally::inner
--- a/src/appletally/inner/control_link.cpp
+++ b/src/appletally/inner/control_link.cpp
@@ -1,4 +1,4 @@
-// A node's side of distribution: the thread, its KJ loop, and the node's operators' port.
+// The thread of a node's control link, its KJ loop, and the node's operator port.
 #include "appletally/inner/control_link.h"
 
 #include "appletally/base/log.h"
@@ -17,19 +17,19 @@
     struct Stop { };
     using ToLink = std::variant<FromNode, Stop>;
 
-    // The node's task answers a dump between two requests; one that takes longer is stuck, which is worth knowing.
-    constexpr base::Duration dumpLimit { 1000 };
+    // The node's thread answers a dump between two requests. If it takes longer, it is stuck, and the dump says so.
+    constexpr base::Duration dumpTimeout { 1000 };
 
-    constexpr base::Duration leaveLimit { 400 }; // under the half second that the destructor promises
+    constexpr base::Duration leaveTimeout { 400 }; // below the 500 ms that the destructor may take
 
     template <typename... Fs>
     struct Overloaded : Fs... {
         using Fs::operator()...;
     };
     template <typename... Fs>
-    Overloaded(Fs...) -> Overloaded<Fs...>; // clang 14 does not deduce it by itself
+    Overloaded(Fs...) -> Overloaded<Fs...>; // clang 14 needs the deduction guide
 
-    // Lives within the thread.
+    // Created and used only on the link's thread.
     class Loop {
     public:
         Loop(kj::AsyncIoContext& io, const ControlLinkSettings& settings, base::Channel<ToNode>& toNode, base::Channel<ToLink>& fromNode)
@@ -49,11 +49,11 @@
             auto stopped = kj::newPromiseAndFulfiller<void>();
             m_stopped = kj::mv(stopped.fulfiller);
             auto pumping = pump(m_fromNode, m_observer, [this](ToLink it) { handle(std::move(it)); }).eagerlyEvaluate([](kj::Exception&& problem) {
-                base::logEvent(base::Event::LinkDown, "the link's task: " + describe(problem));
+                base::logEvent(base::Event::LinkDown, "control link thread: " + describe(problem));
             });
             stopped.promise.wait(m_io.waitScope);
             m_port.stopListening();
-            m_client.leave(leaveLimit).wait(m_io.waitScope);
+            m_client.leave(leaveTimeout).wait(m_io.waitScope);
         }
 
     private:
@@ -67,30 +67,30 @@
             return { [this](std::shared_ptr<const config::Snapshot> it) { m_toNode.send(SnapshotReleased { std::move(it) }); },
                 [this](std::vector<config::Endpoint> it) { m_toNode.send(EndpointsChanged { std::move(it) }); },
                 [this](bool reachable) {
-                    base::logEvent(reachable ? base::Event::ControlFound : base::Event::ControlLost, reachable ? "a source of configuration answers" : "no source of configuration answers");
+                    base::logEvent(reachable ? base::Event::ControlFound : base::Event::ControlLost, reachable ? "connected to a configuration source" : "no configuration source is reachable");
                     m_toNode.send(ControlReachable { reachable });
                 } };
         }
 
         rpc::Session::Client makeSession(rpc::Role role)
         {
-            // NOLINTNEXTLINE(bugprone-suspicious-semicolon): of the macro
-            KJ_REQUIRE(role == rpc::Role::OPERATOR, "this port is the operators'");
-            return kj::heap<ReadOnlyOperator>([this](const std::string&) { return askDump(); });
+            // NOLINTNEXTLINE(bugprone-suspicious-semicolon): expands from the macro
+            KJ_REQUIRE(role == rpc::Role::OPERATOR, "this port only accepts the operator role");
+            return kj::heap<ReadOnlyOperator>([this](const std::string&) { return requestDump(); });
         }
 
-        kj::Promise<kj::String> askDump()
+        kj::Promise<kj::String> requestDump()
         {
             const uint64_t id = m_nextDump++;
-            auto asked = kj::newPromiseAndFulfiller<kj::String>();
-            m_dumps[id] = kj::mv(asked.fulfiller);
+            auto pendingDump = kj::newPromiseAndFulfiller<kj::String>();
+            m_dumps[id] = kj::mv(pendingDump.fulfiller);
             m_toNode.send(DumpRequested { id });
             return m_io.provider->getTimer()
-                .timeoutAfter(dumpLimit.ms * kj::MILLISECONDS, kj::mv(asked.promise))
-                .then([this](kj::String json) { return withLink(json.cStr()); }, [this](kj::Exception&&) { return withLink(R"({"node":"its task does not answer"})"); });
+                .timeoutAfter(dumpTimeout.ms * kj::MILLISECONDS, kj::mv(pendingDump.promise))
+                .then([this](kj::String json) { return addLinkState(json.cStr()); }, [this](kj::Exception&&) { return addLinkState(R"({"node":"no answer from the node thread"})"); });
         }
 
-        kj::String withLink(const std::string& json)
+        kj::String addLinkState(const std::string& json)
         {
             nlohmann::json out = nlohmann::json::parse(json, nullptr, false);
             if (!out.is_object())
@@ -139,9 +139,9 @@
 } // namespace
 
 struct ControlLink::Task {
-    Task(ControlLinkSettings given, base::Channel<ToNode>& toNode)
-        : settings(std::move(given))
-        , listening(bound.get_future().share())
+    Task(ControlLinkSettings initialSettings, base::Channel<ToNode>& toNode)
+        : settings(std::move(initialSettings))
+        , listenAddress(listenResult.get_future().share())
         , thread([this, &toNode] { run(toNode); })
     {
     }
@@ -150,15 +150,15 @@
     {
         auto io = kj::setupAsyncIo();
         Loop loop(io, settings, toNode, fromNode);
-        bound.set_value(loop.listen(settings.operators));
+        listenResult.set_value(loop.listen(settings.operators));
         loop.runUntilStopped();
     }
 
     ControlLinkSettings settings;
     base::Channel<ToLink> fromNode;
-    std::promise<base::Result<base::Address>> bound;
-    std::shared_future<base::Result<base::Address>> listening;
-    std::thread thread; // last: it uses all above
+    std::promise<base::Result<base::Address>> listenResult;
+    std::shared_future<base::Result<base::Address>> listenAddress;
+    std::thread thread; // declared last: it uses all members above
 };
 
 ControlLink::ControlLink(ControlLinkSettings settings, base::Channel<ToNode>& toNode)
@@ -173,6 +173,6 @@
 }
 
 void ControlLink::send(FromNode message) { m_task->fromNode.send(std::move(message)); }
-base::Result<base::Address> ControlLink::operatorsAddress() { return m_task->listening.get(); }
+base::Result<base::Address> ControlLink::operatorsAddress() { return m_task->listenAddress.get(); }
 
 } // namespace appletally::inner
--- a/src/appletally/inner/control_link.h
+++ b/src/appletally/inner/control_link.h
@@ -1,9 +1,10 @@
-// A node's side of distribution: one thread with a KJ loop that speaks Cap'n Proto RPC with control, and serves the
-// node's own operators' port (state dump).
+// A node's side of distribution: one thread with a KJ loop that speaks Cap'n Proto RPC with the control processes and
+// serves the node's operator port (state dump).
 //
-// The node's task and this one own their sockets and state and talk by the messages below, over two channels. A
-// snapshot that arrives here has been released by a majority of voters, rebuilt from deltas and checked whole; the
-// node only swaps a pointer. With control gone nothing is sent, and the node keeps serving what it has.
+// The node's thread and this one share no sockets or state; they exchange the messages below over two channels. A
+// snapshot that is passed to the node has been released by a majority of voters, rebuilt from deltas and validated; the
+// node only swaps a pointer. While no control process is reachable, nothing is sent and the node keeps using the
+// version that it has applied.
 #pragma once
 
 #include "appletally/base/channel.h"
@@ -19,24 +20,24 @@
 
 namespace appletally::inner {
 
-// To the node's task.
+// To the node's thread.
 struct SnapshotReleased {
-    std::shared_ptr<const config::Snapshot> snapshot; // version never lower than one sent before
+    std::shared_ptr<const config::Snapshot> snapshot; // its version never decreases
 };
 struct EndpointsChanged {
-    std::vector<config::Endpoint> endpoints; // state Gone: forget it
+    std::vector<config::Endpoint> endpoints; // state Gone: remove it
 };
 struct ControlReachable {
-    bool reachable = false; // false: no control process answered within its limit
+    bool reachable = false; // false: no control process answered in time
 };
 struct DumpRequested {
-    uint64_t id = 0; // to be repeated in DumpAnswered
+    uint64_t id = 0; // echoed in DumpAnswered
 };
 using ToNode = std::variant<SnapshotReleased, EndpointsChanged, ControlReachable, DumpRequested>;
 
-// From the node's task.
+// From the node's thread.
 struct EndpointAnnounced {
-    config::Endpoint endpoint; // the link renews it by itself until the next one
+    config::Endpoint endpoint; // the link renews it periodically until it is replaced
 };
 struct AppliedVersionChanged {
     base::ConfigVersion version;
@@ -48,7 +49,7 @@
     uint64_t id = 0;
     std::string json;
 };
-// The settings name further sources of content.
+// The settings list additional sources of content.
 struct SourcesConfigured {
     std::vector<base::Address> sources;
 };
@@ -58,21 +59,21 @@
     Membership membership;
     base::ZoneName zone;
     base::RegionName region;
-    std::vector<base::Address> voters; // proof of the boot version comes from a majority of these
-    std::vector<base::Address> sources; // where content comes from: relays, or the voters in a small mesh
-    base::Address operators; // listens here; port 0 lets the system choose
+    std::vector<base::Address> voters; // a majority of these confirms the minimum version at start
+    std::vector<base::Address> sources; // serve content: relays, or the voters in a small mesh
+    base::Address operators; // listen address of the operator port; port 0: chosen by the system
 };
 
 class ControlLink {
 public:
     // Starts the thread. `toNode` must outlive the link.
     ControlLink(ControlLinkSettings, base::Channel<ToNode>& toNode);
-    ~ControlLink(); // says that the node leaves, stops the thread and joins it; at most half a second
+    ~ControlLink(); // reports the node's departure, then stops and joins the thread; takes at most 500 ms
     ControlLink(const ControlLink&) = delete;
     ControlLink& operator=(const ControlLink&) = delete;
 
-    void send(FromNode); // from the node's task
-    base::Result<base::Address> operatorsAddress(); // waits until the port listens; AddressInUse otherwise
+    void send(FromNode); // called from the node's thread
+    base::Result<base::Address> operatorsAddress(); // blocks until the port listens. Errors: AddressInUse, SettingsOutOfRange
 
 private:
     struct Task;
--- a/src/appletally/inner/frame.cpp
+++ b/src/appletally/inner/frame.cpp
@@ -1,4 +1,4 @@
-// Framing on libevent's buffers.
+// Framing on libevent buffers.
 #include "appletally/inner/frame.h"
 
 #include <arpa/inet.h>
@@ -14,16 +14,16 @@
     evbuffer_add(out, bytes.begin(), bytes.size());
 }
 
-base::Result<Frame> takeFrame(evbuffer* in, uint32_t mostBytes)
+base::Result<Frame> takeFrame(evbuffer* in, uint32_t maxBytes)
 {
     uint32_t length = 0;
     if (evbuffer_copyout(in, &length, sizeof length) < static_cast<ssize_t>(sizeof length))
         return Frame {};
     length = ntohl(length);
-    if (length > mostBytes)
-        return base::fail(base::Code::MessageTooLarge, "a frame of " + std::to_string(length) + " bytes");
+    if (length > maxBytes)
+        return base::fail(base::Code::MessageTooLarge, "frame too large: " + std::to_string(length) + " bytes");
     if (length == 0 || length % sizeof(capnp::word) != 0)
-        return base::fail(base::Code::MessageMalformed, "a frame of " + std::to_string(length) + " bytes");
+        return base::fail(base::Code::MessageMalformed, "invalid frame length: " + std::to_string(length) + " bytes");
     if (evbuffer_get_length(in) < frameHeaderBytes + length)
         return Frame {};
     evbuffer_drain(in, frameHeaderBytes);
--- a/src/appletally/inner/frame.h
+++ b/src/appletally/inner/frame.h
@@ -1,6 +1,6 @@
-// One message on a byte stream: four bytes of length, then a Cap'n Proto message.
+// Framing of messages on a byte stream: a length of four bytes in network order, then a Cap'n Proto message.
 //
-// The length is checked before anything is allocated: a peer that claims four gigabytes costs four bytes.
+// The length is checked before anything is allocated, so that a peer that announces 4 GiB costs four bytes.
 #pragma once
 
 #include "appletally/base/result.h"
@@ -11,17 +11,17 @@
 
 namespace appletally::inner {
 
-// A call with the largest request body (1 MiB) and its headers, and some room.
-constexpr uint32_t mostFrameBytes = 2 * 1024 * 1024;
+// Fits a call with the largest request body (1 MiB) and its headers, with headroom.
+constexpr uint32_t maxFrameBytes = 2 * 1024 * 1024;
 constexpr size_t frameHeaderBytes = 4;
 
 void appendFrame(evbuffer* out, capnp::MessageBuilder&);
 
 struct Frame {
-    kj::Array<capnp::word> words; // empty: not whole yet
+    kj::Array<capnp::word> words; // empty: the frame is not complete yet
 };
 
-// Takes one frame from the front. MessageTooLarge or MessageMalformed end the connection.
-base::Result<Frame> takeFrame(evbuffer* in, uint32_t mostBytes = mostFrameBytes);
+// Removes one frame from the front. After MessageTooLarge or MessageMalformed the connection has to be closed.
+base::Result<Frame> takeFrame(evbuffer* in, uint32_t maxBytes = maxFrameBytes);
 
 } // namespace appletally::inner
--- a/src/appletally/inner/link.capnp
+++ b/src/appletally/inner/link.capnp
@@ -1,4 +1,4 @@
-# What two nodes say to each other on a link: calls on their way to an upstream's own node, and claims.
+# Messages between two nodes on a link: calls to the node beside an upstream, and claims.
 # One message is one frame, see frame.h. Field numbers are never reused.
 @0xd0c5a7e1b3f94a21;
 
@@ -7,21 +7,21 @@
 
 struct LinkMessage {
   union {
-    greet @0 :Greet;       # dialing side, first
-    greeted @1 :Greeted;   # accepting side, with its proof
+    greet @0 :Greet;       # first message, from the dialing side
+    greeted @1 :Greeted;   # accepting side's reply, with its proof
     proven @2 :Data;       # dialing side's proof
-    admitted @3 :Void;     # accepting side: calls may follow
+    admitted @3 :Void;     # from the accepting side: calls may be sent
     ping @4 :UInt64;
     pong @5 :UInt64;
     call @6 :Call;
-    cancel @7 :UInt64;     # call id: the caller went away or its time is over
+    cancel @7 :UInt64;     # call id: the caller disconnected or its deadline has passed
     answerHead @8 :AnswerHead;
     answerBody @9 :AnswerBody;
     answerEnd @10 :AnswerEnd;
     refused @11 :Refused;
     credit @12 :Credit;
-    load @13 :Load;        # sent unasked when it changes in a way that callers must know at once
-    claim @14 :Claim;      # an ask, an answer or a notice between a claim's owner and a keeper
+    load @13 :Load;        # sent unsolicited when a change must reach callers at once
+    claim @14 :Claim;      # a request, response or notification between a claim's owner and a keeper
   }
 }
 
@@ -50,28 +50,28 @@
   target @4 :Text;         # path and query
   headers @5 :List(Header);
   body @6 :Data;
-  remainingMs @7 :Int64;   # of the caller's time when the call was sent
+  remainingMs @7 :Int64;   # until the caller's deadline, when the call was sent
   caller @8 :Text;
   key @9 :Text;            # Idempotency-Key; empty: none
   attempt @10 :UInt64;
-  internal @11 :Bool;      # another service of the mesh calls
-  configVersion @12 :UInt64; # that the caller's node routed by
-  depth @13 :UInt8;        # how many calls stand above this one
-  hasOld @14 :Bool;        # the two below are known
-  oldFailures @15 :Float64; # of the version that a rollout moves away from, lately, on this route: 0 to 1
+  internal @11 :Bool;      # the caller is another service of the mesh
+  configVersion @12 :UInt64; # used by the caller's node for routing
+  depth @13 :UInt8;        # number of calls above this one in the call chain
+  hasOld @14 :Bool;        # the next two fields are set
+  oldFailures @15 :Float64; # recent failure ratio on this route of the version that a rollout replaces: 0 to 1
   oldMedianMs @16 :Float64;
   idempotent @17 :Bool;
   priority @18 :UInt8;     # config::Priority
-  expectedMs @19 :Int64;   # usual run at the upstream
+  expectedMs @19 :Int64;   # usual run time at the upstream
   hasFullWorth @20 :Bool;
-  fullWorthMs @21 :Int64;  # of the time within which an answer is worth most; below 0: it is over
+  fullWorthMs @21 :Int64;  # remaining time to the target latency; below 0: it has passed
 }
 
 struct AnswerHead {
   id @0 :UInt64;
   status @1 :UInt16;
   headers @2 :List(Header);
-  length @3 :Int64;        # of the body in bytes; -1: not known beforehand
+  length @3 :Int64;        # of the body in bytes; -1: unknown
 }
 
 struct AnswerBody {
@@ -81,10 +81,10 @@
 
 struct AnswerEnd {
   id @0 :UInt64;
-  bodyBytes @1 :UInt64;    # sent in all; the receiver counts too
+  bodyBytes @1 :UInt64;    # sent in total; the receiver compares its own count
   load @2 :Load;
-  runMicros @3 :UInt64;    # at the upstream
-  usualRunMs @4 :UInt32;   # of the route at this upstream lately, over all callers; 0: not known
+  runMicros @3 :UInt64;    # run time at the upstream
+  usualRunMs @4 :UInt32;   # recent run time of the route at this upstream, over all callers; 0: unknown
 }
 
 struct Refused {
@@ -98,7 +98,7 @@
 
 struct Credit {
   id @0 :UInt64;
-  bytes @1 :UInt64;        # of body that the receiver has passed on
+  bytes @1 :UInt64;        # of the body that the receiver has forwarded
 }
 
 struct Load {
@@ -111,6 +111,6 @@
 }
 
 struct Claim {
-  id @0 :UInt64;           # repeated in the answer
+  id @0 :UInt64;           # repeated in the response
   body @1 :Data;           # CBOR, see claim_codec.h
 }
--- a/src/appletally/inner/node_link.h
+++ b/src/appletally/inner/node_link.h
@@ -1,11 +1,12 @@
-// One authenticated connection between two nodes, on libevent: greeting, heartbeats, typed messages.
+// One authenticated connection between two nodes, on libevent: handshake, heartbeats, typed messages.
 //
-// Cap'n Proto carries the messages, but not its RPC: calls between nodes stream bodies with flow control and sit on the
-// path whose added latency is bounded, in the same libevent loop as HTTP; RPC would bring a second loop and two thread
-// changes per call. Control, where calls are rare and interfaces rich, uses the RPC.
+// Messages are encoded with Cap'n Proto, but its RPC is not used: calls between nodes stream bodies with flow control and
+// are on the request path, whose added latency is bounded, in the same libevent loop as HTTP. RPC would add a second event
+// loop and two thread switches per call. Control processes, with rare calls and rich interfaces, use the RPC.
 //
-// A connection can go silent for good while new ones work, because something between the ends lost track of it. No
-// error is ever reported then. So both sides send heartbeats, and a link without a byte for `silenceLimit` is down.
+// A connection can stop delivering data for good while new ones work, because a device between the ends lost its state,
+// and no error is ever reported. So both sides send heartbeats, and a link that received no byte for `silenceTimeout` is
+// closed.
 #pragma once
 
 #include "appletally/base/clock.h"
@@ -21,14 +22,14 @@
 
 namespace appletally::inner {
 
-constexpr base::Duration heartbeatEvery { 400 };
-constexpr base::Duration silenceLimit { 2000 }; // five heartbeats lost; a busy host's pauses stay well below
-constexpr base::Duration maxFreshLinkAge { 1000 }; // heard from so lately that a request that must not be repeated may use it
-constexpr uint32_t mostGreetingBytes = 4096; // nobody who has not proved the key makes us hold more
+constexpr base::Duration heartbeatInterval { 400 };
+constexpr base::Duration silenceTimeout { 2000 }; // five lost heartbeats; scheduling pauses of a busy host are much shorter
+constexpr base::Duration maxFreshLinkAge { 1000 }; // a non-idempotent request is only sent on a link that received data within this time
+constexpr uint32_t maxHandshakeFrameBytes = 4096; // bounds the memory that an unauthenticated peer can use
 
 class NodeLink;
 
-// All are called from the event loop. `down` is the last; only there may the link be destroyed.
+// All are called from the event loop. `down` is called last, and the link may only be destroyed there.
 struct LinkHandler {
     std::function<void(NodeLink&)> up;
     std::function<void(NodeLink&, wire::LinkMessage::Reader)> message;
@@ -37,23 +38,23 @@
 
 class NodeLink {
 public:
-    // Both outlive nothing: `membership` and `loop` must outlive the link.
+    // The loop and the Membership must outlive the link.
     static std::unique_ptr<NodeLink> dial(event_base* loop, const base::Address&, const Membership&, LinkHandler);
     static std::unique_ptr<NodeLink> accept(event_base* loop, evutil_socket_t, const Membership&, LinkHandler);
     ~NodeLink();
     NodeLink(const NodeLink&) = delete;
     NodeLink& operator=(const NodeLink&) = delete;
 
-    void send(capnp::MessageBuilder&); // nothing happens on a link that is down
-    void fail(base::Error); // `down` follows from the event loop
+    void send(capnp::MessageBuilder&); // no-op on a link that is down
+    void fail(base::Error); // `down` is called later from the event loop
 
     bool isUp() const { return m_stage == Stage::Up && !m_failure; }
-    bool isFresh(base::Time now) const { return isUp() && now - m_lastHeard < maxFreshLinkAge; }
+    bool isFresh(base::Time now) const { return isUp() && now - m_lastReceived < maxFreshLinkAge; }
     const base::HostId& peer() const { return m_peer; } // empty before `up`
-    size_t backlog() const; // bytes that wait for the socket
+    size_t backlog() const; // bytes not yet written to the socket
 
 private:
-    enum class Stage { Greeting,
+    enum class Stage { Handshake,
         Proving,
         Up };
 
@@ -65,23 +66,23 @@
     void onGreet(wire::Greet::Reader);
     void onGreeted(wire::Greeted::Reader);
     void onProven(capnp::Data::Reader);
-    void becomeUp();
-    void onTick();
-    void onDown();
+    void markUp();
+    void onHeartbeatTimer();
+    void notifyDown();
 
     event_base* m_loop;
     const Membership* m_membership;
     LinkHandler m_handler;
     Side m_side;
-    Stage m_stage = Stage::Greeting;
-    bufferevent* m_buffers = nullptr;
-    event* m_tick = nullptr;
-    event* m_down = nullptr;
+    Stage m_stage = Stage::Handshake;
+    bufferevent* m_bufferEvent = nullptr;
+    event* m_heartbeatTimer = nullptr;
+    event* m_downEvent = nullptr;
     base::HostId m_peer;
     Nonce m_clientNonce {};
     Nonce m_serverNonce {};
-    base::Time m_lastHeard;
-    std::optional<base::Error> m_failure; // set once; then only m_down still runs
+    base::Time m_lastReceived;
+    std::optional<base::Error> m_failure; // set at most once; afterwards only m_downEvent fires
 };
 
 } // namespace appletally::inner
--- a/src/appletally/inner/operator_port.cpp
+++ b/src/appletally/inner/operator_port.cpp
@@ -1,4 +1,4 @@
-// Answers of a process that takes no changes.
+// The operator interface of a process that accepts no changes.
 #include "appletally/inner/operator_port.h"
 
 #include "appletally/inner/rpc_connection.h"
@@ -6,17 +6,17 @@
 
 namespace appletally::inner {
 
-static base::Error takesNoChanges() { return base::fail(base::Code::BadCommandLine, "this process takes no changes; ask a voter"); }
+static base::Error readOnlyError() { return base::fail(base::Code::BadCommandLine, "this process accepts no changes; send them to a voter"); }
 
 kj::Promise<void> ReadOnlyOperator::change(ChangeContext context)
 {
-    write(context.getResults().initFailure(), takesNoChanges());
+    write(context.getResults().initFailure(), readOnlyError());
     return kj::READY_NOW;
 }
 
 kj::Promise<void> ReadOnlyOperator::replaceVoter(ReplaceVoterContext context)
 {
-    write(context.getResults().initFailure(), takesNoChanges());
+    write(context.getResults().initFailure(), readOnlyError());
     return kj::READY_NOW;
 }
 
--- a/src/appletally/inner/operator_port.h
+++ b/src/appletally/inner/operator_port.h
@@ -1,4 +1,4 @@
-// The operators' port of a process that only answers reads: status and dump.
+// The operator interface of a process that only serves reads (status and dump).
 #pragma once
 
 #include "appletally/inner/control.capnp.h"
@@ -9,7 +9,7 @@
 
 namespace appletally::inner {
 
-// `what` is "status", "versions", "rollouts" or "dump"; answers JSON. An exception becomes the caller's failure.
+// `what` is "status", "versions", "rollouts" or "dump"; returns JSON. An exception is returned to the client as a failure.
 using ReadState = std::function<kj::Promise<kj::String>(const std::string& what)>;
 
 class ReadOnlyOperator final : public rpc::Operator::Server {
--- a/src/appletally/inner/rpc_connection.cpp
+++ b/src/appletally/inner/rpc_connection.cpp
@@ -1,4 +1,4 @@
-// A Cap'n Proto connection that is watched; see the header.
+// RPC connection with byte counters, close reason and heartbeats.
 #include "appletally/inner/rpc_connection.h"
 
 #include <capnp/serialize-async.h>
@@ -7,36 +7,36 @@
 
 namespace {
 
-    // Passes bytes through and counts them.
-    class CountedStream final : public kj::AsyncIoStream {
+    // Forwards to the inner stream and counts the bytes.
+    class CountingStream final : public kj::AsyncIoStream {
     public:
-        explicit CountedStream(kj::Own<kj::AsyncIoStream> inner)
+        explicit CountingStream(kj::Own<kj::AsyncIoStream> inner)
             : m_inner(kj::mv(inner))
         {
         }
 
-        kj::Promise<size_t> tryRead(void* buf, size_t least, size_t most) override
+        kj::Promise<size_t> tryRead(void* buf, size_t minBytes, size_t maxBytes) override
         {
-            // Asked for one byte at least, so that each piece of a long message shows life and not only its end.
-            return m_inner->tryRead(buf, 1, most).then([this, buf, least, most](size_t n) -> kj::Promise<size_t> {
-                in += n;
-                lastRead = base::steadyNow();
-                if (n == 0 || n >= least)
+            // Reads a minimum of one byte, so that each part of a long message counts as a sign of life, not only its end.
+            return m_inner->tryRead(buf, 1, maxBytes).then([this, buf, minBytes, maxBytes](size_t n) -> kj::Promise<size_t> {
+                bytesRead += n;
+                lastReadAt = base::steadyNow();
+                if (n == 0 || n >= minBytes)
                     return n;
-                return tryRead(static_cast<char*>(buf) + n, least - n, most - n).then([n](size_t rest) { return n + rest; });
+                return tryRead(static_cast<char*>(buf) + n, minBytes - n, maxBytes - n).then([n](size_t rest) { return n + rest; });
             });
         }
 
         kj::Promise<void> write(const void* buf, size_t size) override
         {
-            out += size;
+            bytesWritten += size;
             return m_inner->write(buf, size);
         }
 
         kj::Promise<void> write(kj::ArrayPtr<const kj::ArrayPtr<const kj::byte>> pieces) override
         {
             for (const auto& it : pieces)
-                out += it.size();
+                bytesWritten += it.size();
             return m_inner->write(pieces);
         }
 
@@ -45,27 +45,27 @@
         void abortRead() override { m_inner->abortRead(); }
         void getsockopt(int level, int option, void* value, kj::uint* n) override { m_inner->getsockopt(level, option, value, n); }
 
-        uint64_t in = 0;
-        uint64_t out = 0;
-        base::Time lastRead = base::steadyNow();
+        uint64_t bytesRead = 0;
+        uint64_t bytesWritten = 0;
+        base::Time lastReadAt = base::steadyNow();
 
     private:
         kj::Own<kj::AsyncIoStream> m_inner;
     };
 
-    base::Error whyUnreadable(const kj::Exception& problem)
+    base::Error classifyReadError(const kj::Exception& problem)
     {
         const std::string text = describe(problem);
         if (problem.getType() == kj::Exception::Type::DISCONNECTED)
             return base::fail(base::Code::PeerGone, text);
-        const bool large = text.find("too large") != std::string::npos || text.find("too many segments") != std::string::npos;
-        return base::fail(large ? base::Code::MessageTooLarge : base::Code::MessageMalformed, text);
+        const bool tooLarge = text.find("too large") != std::string::npos || text.find("too many segments") != std::string::npos;
+        return base::fail(tooLarge ? base::Code::MessageTooLarge : base::Code::MessageMalformed, text);
     }
 
-    // The RPC system only passes on that a connection broke; this one keeps the reason for the counters and the log.
-    class ExplainedMessages final : public capnp::MessageStream {
+    // Records why a connection broke, for the counters and the log: the RPC system only reports that it did.
+    class ErrorRecordingStream final : public capnp::MessageStream {
     public:
-        explicit ExplainedMessages(kj::AsyncIoStream& stream)
+        explicit ErrorRecordingStream(kj::AsyncIoStream& stream)
             : m_inner(stream)
         {
         }
@@ -76,7 +76,7 @@
         {
             return m_inner.tryReadMessage(fds, options, scratch)
                 .catch_([this](kj::Exception&& problem) -> kj::Promise<kj::Maybe<capnp::MessageReaderAndFds>> {
-                    *why = whyUnreadable(problem);
+                    *closeReason = classifyReadError(problem);
                     return kj::mv(problem);
                 });
         }
@@ -95,8 +95,8 @@
         kj::Maybe<int> getSendBufferSize() override { return m_inner.getSendBufferSize(); }
         kj::Promise<void> end() override { return m_inner.end(); }
 
-        // Shared, because whoever waits for the end hears of it also when the connection itself is gone already.
-        std::shared_ptr<base::Error> why = std::make_shared<base::Error>(base::fail(base::Code::PeerGone, "closed"));
+        // Shared, because ended() may resolve after the connection was destroyed.
+        std::shared_ptr<base::Error> closeReason = std::make_shared<base::Error>(base::fail(base::Code::PeerGone, "closed"));
 
     private:
         capnp::AsyncIoMessageStream m_inner;
@@ -105,7 +105,7 @@
     capnp::ReaderOptions readerOptions()
     {
         capnp::ReaderOptions out;
-        out.traversalLimitInWords = mostMessageBytes / sizeof(capnp::word);
+        out.traversalLimitInWords = maxMessageBytes / sizeof(capnp::word);
         return out;
     }
 
@@ -121,34 +121,34 @@
 struct RpcConnection::Parts {
     Parts(kj::Timer& timer, kj::Own<kj::AsyncIoStream> stream, End end, kj::Maybe<capnp::Capability::Client> bootstrap)
         : timer(timer)
-        , counted(kj::mv(stream))
-        , messages(counted)
+        , countingStream(kj::mv(stream))
+        , messages(countingStream)
         , network(messages, sideOf(end), readerOptions())
         , rpc(network, kj::mv(bootstrap))
     {
-        rpc.setFlowLimit(mostPendingBytes / sizeof(capnp::word));
+        rpc.setFlowLimit(maxPendingCallBytes / sizeof(capnp::word));
     }
 
-    kj::Promise<base::Error> beat(rpc::Pulse::Client peer)
+    kj::Promise<base::Error> runHeartbeat(rpc::Pulse::Client peer)
     {
         return timer.afterDelay(rpcHeartbeatInterval.ms * kj::MILLISECONDS).then([this, peer]() mutable -> kj::Promise<base::Error> {
-            if (base::steadyNow() - counted.lastRead > rpcSilenceTimeout)
-                return base::fail(base::Code::PeerSilent, "no byte within " + std::to_string(rpcSilenceTimeout.ms) + " ms");
-            if (!beating) {
-                beating = true; // one at a time: beats must not pile up in front of a peer that reads nothing
-                pending = peer.beatRequest().send().ignoreResult().then([this] { beating = false; }, [](kj::Exception&&) {}).eagerlyEvaluate(nullptr);
+            if (base::steadyNow() - countingStream.lastReadAt > rpcSilenceTimeout)
+                return base::fail(base::Code::PeerSilent, "no data received within " + std::to_string(rpcSilenceTimeout.ms) + " ms");
+            if (!heartbeatInFlight) {
+                heartbeatInFlight = true; // one at a time: heartbeats must not queue up for a peer that does not read
+                pendingHeartbeat = peer.beatRequest().send().ignoreResult().then([this] { heartbeatInFlight = false; }, [](kj::Exception&&) {}).eagerlyEvaluate(nullptr);
             }
-            return beat(kj::mv(peer));
+            return runHeartbeat(kj::mv(peer));
         });
     }
 
     kj::Timer& timer;
-    CountedStream counted;
-    ExplainedMessages messages;
+    CountingStream countingStream;
+    ErrorRecordingStream messages;
     capnp::TwoPartyVatNetwork network;
     capnp::RpcSystem<capnp::rpc::twoparty::VatId> rpc;
-    bool beating = false;
-    kj::Promise<void> pending = kj::READY_NOW; // the beat under way
+    bool heartbeatInFlight = false;
+    kj::Promise<void> pendingHeartbeat = kj::READY_NOW; // the heartbeat call in flight
 };
 
 RpcConnection::RpcConnection(kj::Timer& timer, kj::Own<kj::AsyncIoStream> stream, End end, kj::Maybe<capnp::Capability::Client> bootstrap)
@@ -170,12 +170,12 @@
 kj::Promise<base::Error> RpcConnection::ended()
 {
     return m_parts->network.onDisconnect().then(
-        [why = m_parts->messages.why] { return *why; }, [why = m_parts->messages.why](kj::Exception&&) { return *why; });
+        [closeReason = m_parts->messages.closeReason] { return *closeReason; }, [closeReason = m_parts->messages.closeReason](kj::Exception&&) { return *closeReason; });
 }
 
-kj::Promise<base::Error> RpcConnection::beat(rpc::Pulse::Client peer) { return m_parts->beat(kj::mv(peer)); }
-base::Duration RpcConnection::silence() const { return base::steadyNow() - m_parts->counted.lastRead; }
-uint64_t RpcConnection::bytesIn() const { return m_parts->counted.in; }
-uint64_t RpcConnection::bytesOut() const { return m_parts->counted.out; }
+kj::Promise<base::Error> RpcConnection::runHeartbeat(rpc::Pulse::Client peer) { return m_parts->runHeartbeat(kj::mv(peer)); }
+base::Duration RpcConnection::silence() const { return base::steadyNow() - m_parts->countingStream.lastReadAt; }
+uint64_t RpcConnection::bytesIn() const { return m_parts->countingStream.bytesRead; }
+uint64_t RpcConnection::bytesOut() const { return m_parts->countingStream.bytesWritten; }
 
 } // namespace appletally::inner
--- a/src/appletally/inner/rpc_connection.h
+++ b/src/appletally/inner/rpc_connection.h
@@ -1,8 +1,8 @@
-// One TCP connection that speaks Cap'n Proto RPC: counts bytes, notes why it ended, beats and watches for silence.
+// One TCP connection with Cap'n Proto RPC: counts bytes, records why it ended, sends heartbeats and detects silence.
 //
-// A connection may go silent for good without either end being told, because something between them lost track of it.
-// Calls on it would then wait for ever. Every byte read is a sign of life; a connection without one for rpcSilenceTimeout
-// ends with PeerSilent, and whoever owns it makes a new one.
+// A connection can stop delivering data for good without an error at either end, because a device between them lost its
+// state. Calls on it would then never complete. Every byte read counts as a sign of life; a connection that reads none
+// for rpcSilenceTimeout ends with PeerSilent, and its owner opens a new one.
 #pragma once
 
 #include "appletally/base/result.h"
@@ -20,19 +20,19 @@
     enum class End { Client,
         Server };
 
-    // `bootstrap` is what the other side gets from its bootstrap(); a client has none.
+    // `bootstrap` is the capability that the peer's bootstrap() returns; clients pass none.
     RpcConnection(kj::Timer&, kj::Own<kj::AsyncIoStream>, End, kj::Maybe<capnp::Capability::Client> bootstrap);
     ~RpcConnection();
     RpcConnection(const RpcConnection&) = delete;
     RpcConnection& operator=(const RpcConnection&) = delete;
 
-    capnp::Capability::Client bootstrap(); // of the other side
+    capnp::Capability::Client bootstrap(); // of the peer
 
-    // Resolves once, with why: PeerGone, MessageMalformed, MessageTooLarge. Never rejects.
+    // Resolves once, with the reason: PeerGone, MessageMalformed, MessageTooLarge. Never rejects.
     kj::Promise<base::Error> ended();
 
-    // Beats the peer until it is silent for too long; then resolves. Drop the promise to stop.
-    kj::Promise<base::Error> beat(rpc::Pulse::Client peer);
+    // Sends heartbeats until the peer has been silent for rpcSilenceTimeout, then resolves. Drop the promise to stop.
+    kj::Promise<base::Error> runHeartbeat(rpc::Pulse::Client peer);
 
     base::Duration silence() const; // since the last byte read
     uint64_t bytesIn() const;
@@ -43,7 +43,7 @@
     std::unique_ptr<Parts> m_parts;
 };
 
-// One line for a log, from what KJ throws.
+// The exception's description, as one line for the log.
 std::string describe(const kj::Exception&);
 
 } // namespace appletally::inner
--- a/src/appletally/inner/rpc_link.cpp
+++ b/src/appletally/inner/rpc_link.cpp
@@ -1,4 +1,4 @@
-// The connecting side of the Gate.
+// The client side of the Gate.
 #include "appletally/inner/rpc_link.h"
 
 #include "appletally/inner/rpc_limits.h"
@@ -11,17 +11,17 @@
 
 namespace {
 
-    // What the listening side beats.
+    // Answers the heartbeats of the listening side.
     class PulseServer final : public rpc::Pulse::Server {
         kj::Promise<void> beat(BeatContext) override { return kj::READY_NOW; }
     };
 
-    // A greeting under way. Owned by the promise chain of connect().
-    struct Greeting {
+    // A handshake in progress. Owned by the promise chain of authenticate().
+    struct Handshake {
         Membership membership;
         base::Address address;
         rpc::Role role;
-        Nonce client = freshNonce();
+        Nonce client = generateNonce();
         Nonce server {};
         kj::Own<RpcLink> link = kj::heap<RpcLink>();
         rpc::Gate::Client gate = nullptr;
@@ -29,13 +29,13 @@
 
     using Outcome = base::Result<kj::Own<RpcLink>>;
 
-    kj::Promise<Outcome> enter(Greeting& it)
+    kj::Promise<Outcome> enter(Handshake& it)
     {
         const std::string who = it.membership.host.text + "/" + std::to_string(static_cast<int>(it.role));
-        auto ask = it.gate.enterRequest();
-        ask.setProof(toData(prove(it.membership, Side::Client, it.client, it.server, who)));
-        ask.setBack(kj::heap<PulseServer>());
-        return ask.send().then([&it](auto&& answer) -> Outcome {
+        auto request = it.gate.enterRequest();
+        request.setProof(toData(makeProof(it.membership, Side::Client, it.client, it.server, who)));
+        request.setBack(kj::heap<PulseServer>());
+        return request.send().then([&it](auto&& answer) -> Outcome {
             if (failed(answer.getFailure()))
                 return read(answer.getFailure());
             it.link->session = answer.getSession();
@@ -43,23 +43,23 @@
         });
     }
 
-    kj::Promise<Outcome> greet(Greeting& it)
+    kj::Promise<Outcome> startHandshake(Handshake& it)
     {
         it.gate = it.link->connection->bootstrap().castAs<rpc::Gate>();
-        auto ask = it.gate.challengeRequest();
-        ask.setCluster(it.membership.cluster.text);
-        ask.setWho(it.membership.host.text);
-        ask.setRole(it.role);
-        ask.setNonce(toData(it.client));
-        return ask.send().then([&it](auto&& answer) -> kj::Promise<Outcome> {
+        auto request = it.gate.challengeRequest();
+        request.setCluster(it.membership.cluster.text);
+        request.setWho(it.membership.host.text);
+        request.setRole(it.role);
+        request.setNonce(toData(it.client));
+        return request.send().then([&it](auto&& answer) -> kj::Promise<Outcome> {
             if (failed(answer.getFailure()))
                 return Outcome(read(answer.getFailure()));
             it.link->peer.text = text(answer.getWho());
             Mac proof;
-            const bool proven = take(answer.getNonce(), it.server) && take(answer.getProof(), proof)
-                && holds(it.membership, Side::Server, it.client, it.server, it.link->peer.text, proof);
-            if (!proven)
-                return Outcome(base::fail(base::Code::WrongKey, it.address.text() + " does not hold the cluster's key"));
+            const bool verified = take(answer.getNonce(), it.server) && take(answer.getProof(), proof)
+                && verifyProof(it.membership, Side::Server, it.client, it.server, it.link->peer.text, proof);
+            if (!verified)
+                return Outcome(base::fail(base::Code::WrongKey, it.address.text() + " failed to prove the cluster key"));
             return enter(it);
         });
     }
@@ -75,33 +75,33 @@
     });
 }
 
-kj::Promise<base::Result<kj::Own<RpcLink>>> prove(kj::AsyncIoContext& io, const Membership& membership, const base::Address& address, rpc::Role role, kj::Own<kj::AsyncIoStream> stream)
+kj::Promise<base::Result<kj::Own<RpcLink>>> authenticate(kj::AsyncIoContext& io, const Membership& membership, const base::Address& address, rpc::Role role, kj::Own<kj::AsyncIoStream> stream)
 {
     kj::Timer& timer = io.provider->getTimer();
-    auto greeting = kj::heap<Greeting>(Greeting { membership, address, role });
-    Greeting& it = *greeting;
+    auto handshake = kj::heap<Handshake>(Handshake { membership, address, role });
+    Handshake& it = *handshake;
     const int one = 1;
     stream->setsockopt(IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
     it.link->address = address;
     it.link->connection = std::make_unique<RpcConnection>(timer, kj::mv(stream), RpcConnection::End::Client, nullptr);
-    return greet(it)
-        .exclusiveJoin(timer.afterDelay(proofLimit.ms * kj::MILLISECONDS).then([address]() -> Outcome {
-            return base::fail(base::Code::PeerSilent, address.text() + " did not prove itself within " + std::to_string(proofLimit.ms) + " ms");
+    return startHandshake(it)
+        .exclusiveJoin(timer.afterDelay(authenticationTimeout.ms * kj::MILLISECONDS).then([address]() -> Outcome {
+            return base::fail(base::Code::PeerSilent, address.text() + " did not authenticate within " + std::to_string(authenticationTimeout.ms) + " ms");
         }))
         .catch_([address](kj::Exception&& problem) -> Outcome { return base::fail(base::Code::PeerGone, address.text() + ": " + describe(problem)); })
-        .attach(kj::mv(greeting));
+        .attach(kj::mv(handshake));
 }
 
 kj::Promise<base::Result<kj::Own<RpcLink>>> connect(kj::AsyncIoContext& io, const Membership& membership, const base::Address& address, rpc::Role role, base::Duration limit)
 {
     return dial(io, address, limit)
-        .then([&io, membership, address, role](kj::Own<kj::AsyncIoStream> stream) { return prove(io, membership, address, role, kj::mv(stream)); })
+        .then([&io, membership, address, role](kj::Own<kj::AsyncIoStream> stream) { return authenticate(io, membership, address, role, kj::mv(stream)); })
         .catch_([address](kj::Exception&& problem) -> Outcome { return base::fail(base::Code::PeerGone, address.text() + ": " + describe(problem)); });
 }
 
 kj::Promise<base::Error> whenDisconnected(RpcLink& link)
 {
-    return link.connection->ended().exclusiveJoin(link.connection->beat(link.session));
+    return link.connection->ended().exclusiveJoin(link.connection->runHeartbeat(link.session));
 }
 
 } // namespace appletally::inner
--- a/src/appletally/inner/rpc_link.h
+++ b/src/appletally/inner/rpc_link.h
@@ -1,4 +1,4 @@
-// A proven connection to an inner port: connects, proves the key both ways, beats, and says when it is over.
+// The client side of an inner port: connects, authenticates both sides, sends heartbeats and reports the disconnect.
 #pragma once
 
 #include "appletally/inner/cluster_key.h"
@@ -9,20 +9,21 @@
 
 struct RpcLink {
     std::unique_ptr<RpcConnection> connection;
-    base::HostId peer; // as it proved
+    base::HostId peer; // authenticated host id
     base::Address address;
-    rpc::Session::Client session = nullptr; // cast to the interface of the role
+    rpc::Session::Client session = nullptr; // cast it to the interface of the role
 };
 
-// Neither rejects. Errors: PeerGone (cannot be reached), PeerSilent (no connection within `limit`, no proof within proofLimit of the
-// connection), WrongCluster, WrongKey (this side's or the peer's), or what the peer refuses with.
+// Neither promise rejects. Errors: PeerGone (not reachable, or not connected within `limit`), PeerSilent (not authenticated
+// within authenticationTimeout of the connection), WrongCluster, WrongKey (this side's or the peer's), or the peer's own
+// failure.
 kj::Promise<base::Result<kj::Own<RpcLink>>> connect(kj::AsyncIoContext&, const Membership&, const base::Address&, rpc::Role, base::Duration limit = connectTimeout);
-kj::Promise<base::Result<kj::Own<RpcLink>>> prove(kj::AsyncIoContext&, const Membership&, const base::Address&, rpc::Role, kj::Own<kj::AsyncIoStream>);
+kj::Promise<base::Result<kj::Own<RpcLink>>> authenticate(kj::AsyncIoContext&, const Membership&, const base::Address&, rpc::Role, kj::Own<kj::AsyncIoStream>);
 
-// The connection alone. Rejects.
+// Opens the TCP connection only. Rejects on failure.
 kj::Promise<kj::Own<kj::AsyncIoStream>> dial(kj::AsyncIoContext&, const base::Address&, base::Duration limit);
 
-// Resolves once the link is over, with why. The link must outlive the promise.
+// Resolves with the reason when the link has ended. The link must outlive the promise.
 kj::Promise<base::Error> whenDisconnected(RpcLink&);
 
 } // namespace appletally::inner
--- a/src/appletally/inner/rpc_port.h
+++ b/src/appletally/inner/rpc_port.h
@@ -1,7 +1,7 @@
-// A listening inner port: lets in who holds the cluster's key, sheds everyone else, and keeps each link alive.
+// A listening inner port: authenticates peers by the cluster key, disconnects all others, and monitors each link.
 //
-// The port is open to whoever reaches it: garbage, a wrong key, a peer that connects and says nothing, a message over
-// the limit. Each ends its own connection, is logged (LinkRefused, LinkDown) and counted, and touches no other link.
+// Anything on the network can reach the port: garbage, a wrong key, a peer that connects and sends nothing, an oversized
+// message. Each closes only its own connection, is logged (LinkRefused, LinkDown) and counted, and affects no other link.
 #pragma once
 
 #include "appletally/base/ids.h"
@@ -21,13 +21,13 @@
     uint64_t wrongKey = 0;
     uint64_t malformed = 0;
     uint64_t tooLarge = 0;
-    uint64_t unauthenticated = 0; // shed: no proof within proofLimit, or too many at once
+    uint64_t unauthenticated = 0; // disconnected: no proof within authenticationTimeout, or too many at once
     uint64_t silent = 0;
-    uint64_t bytesIn = 0; // of closed links; toJson() adds the open ones
+    uint64_t bytesIn = 0; // of closed connections; toJson() adds the open ones
     uint64_t bytesOut = 0;
 };
 
-// Makes the capability for a proven peer. A thrown kj::Exception refuses the role.
+// Creates the capability for an authenticated peer. Throw a kj::Exception to reject the role.
 using MakeSession = std::function<rpc::Session::Client(rpc::Role, const base::HostId& who)>;
 
 class RpcPort : private kj::TaskSet::ErrorHandler {
@@ -35,33 +35,33 @@
     RpcPort(kj::AsyncIoContext&, Membership, MakeSession);
     ~RpcPort();
 
-    base::Result<base::Address> listen(const base::Address&); // port 0: the system chooses. AddressInUse
-    void stopListening(); // links go on
+    base::Result<base::Address> listen(const base::Address&); // port 0: chosen by the system. Errors: AddressInUse, SettingsOutOfRange
+    void stopListening(); // open links stay open
     nlohmann::json toJson() const;
     const PortCounters& counters() const { return m_counters; }
 
 private:
-    struct Served;
+    struct Connection;
     friend class GateServer;
 
     void taskFailed(kj::Exception&&) override;
     kj::Promise<void> acceptLoop();
-    void serve(kj::Own<kj::AsyncIoStream>);
-    void shed(uint64_t id, base::Error); // closes after the answer under way had time to leave
+    void addConnection(kj::Own<kj::AsyncIoStream>);
+    void closeAfterReply(uint64_t id, base::Error); // the delay lets a pending reply be sent
     void close(uint64_t id, const base::Error&);
-    Served* find(uint64_t id);
+    Connection* find(uint64_t id);
 
     kj::AsyncIoContext& m_io;
     kj::Timer& m_timer;
     Membership m_membership;
     MakeSession m_makeSession;
     PortCounters m_counters;
-    std::map<uint64_t, std::unique_ptr<Served>> m_served;
+    std::map<uint64_t, std::unique_ptr<Connection>> m_connections;
     uint64_t m_nextId = 1;
-    size_t m_unproven = 0;
+    size_t m_unauthenticated = 0;
     kj::Own<kj::ConnectionReceiver> m_receiver;
     kj::Promise<void> m_accepting = nullptr;
-    kj::TaskSet m_tasks; // last: its tasks use all above
+    kj::TaskSet m_tasks; // declared last: its tasks use all members above
 };
 
 } // namespace appletally::inner
--- a/src/appletally/inner/rpc_wire.cpp
+++ b/src/appletally/inner/rpc_wire.cpp
@@ -1,4 +1,4 @@
-// Field by field between the schema and the structs.
+// Field-by-field conversion between the schema's structs and those of config/.
 #include "appletally/inner/rpc_wire.h"
 
 #include "appletally/config/codec.h"
@@ -50,7 +50,7 @@
     out.region.text = text(in.getRegion());
     out.inner = { text(in.getIp()), in.getPort() };
     out.slots = in.getSlots();
-    // A state that this program does not know is taken as one that gets no work.
+    // An unknown state is read as Starting, which receives no requests.
     const uint8_t most = static_cast<uint8_t>(config::EndpointState::Gone);
     out.state = in.getState() > most ? config::EndpointState::Starting : static_cast<config::EndpointState>(in.getState());
     out.incarnation.value = in.getIncarnation();
--- a/src/appletally/inner/rpc_wire.h
+++ b/src/appletally/inner/rpc_wire.h
@@ -1,4 +1,4 @@
-// Between the schema's structs and those of config/. The schema has no semantics of its own.
+// Conversion between the structs of control.capnp and those of config/. The schema adds no semantics.
 #pragma once
 
 #include "appletally/base/result.h"
@@ -12,22 +12,22 @@
 
 namespace appletally::inner {
 
-// A version that a node says it has in force.
+// The version that a node reports as applied.
 struct NodeAppliedVersion {
     base::HostId host;
     base::Incarnation incarnation;
     base::ConfigVersion version;
-    base::Duration since; // how long ago it was applied, as the node says
+    base::Duration since; // time since it was applied, as reported by the node
     bool left = false;
 };
 
-// An endpoint with its writer's sign of life; see config/endpoint_registry.h.
+// An endpoint with the heartbeat number of its writer; see config/endpoint_registry.h.
 struct EndpointHeartbeat {
     config::Endpoint endpoint;
     uint64_t heartbeat = 0;
 };
 
-// What a node tells its source and control processes tell each other.
+// What a node reports to its source, and control processes to each other.
 struct NodeReport {
     std::vector<EndpointHeartbeat> endpoints;
     std::vector<NodeAppliedVersion> appliedVersions;
@@ -52,7 +52,7 @@
 template <size_t n>
 capnp::Data::Reader toData(const std::array<uint8_t, n>& it) { return { it.data(), it.size() }; }
 
-// All of `in` or nothing: nonces and proofs have one size.
+// Fails without writing unless the sizes match: nonces and proofs have a fixed size.
 template <size_t n>
 bool take(capnp::Data::Reader in, std::array<uint8_t, n>& out)
 {
--- a/src/appletally/inner/source_client.cpp
+++ b/src/appletally/inner/source_client.cpp
@@ -1,4 +1,4 @@
-// The taking side of distribution; see the header.
+// The client side of distribution: links, content, endpoints and reports.
 #include "appletally/inner/source_client.h"
 
 #include "appletally/base/json_reader.h"
@@ -11,14 +11,14 @@
 
 namespace {
 
-    // No majority of voters answered the source: asked again after this.
-    constexpr base::Duration proofPause { 250 };
+    // Delay before the minimum version is requested again, when no majority of voters answered the source.
+    constexpr base::Duration minimumVersionRetryDelay { 250 };
 
-    // After so many failed tries in a row, about three seconds, the node's task is told that control is out of reach.
-    constexpr uint64_t failuresUntilLost = 4;
+    // Consecutive failed attempts, about three seconds, after which control is reported as unreachable.
+    constexpr uint64_t failuresUntilUnreachable = 4;
 
-    // Reports are gathered this long before one goes: an answer a millisecond must not become a message each.
-    constexpr base::Duration reportPause { 20 };
+    // Reports are batched for this long, so that one answer per millisecond does not cause one message each.
+    constexpr base::Duration reportBatchInterval { 20 };
 
 } // namespace
 
@@ -32,45 +32,45 @@
 
     kj::Promise<void> content(ContentContext context) override
     {
-        refuseOld();
-        context.getResults().setHave(m_client.take(context.getParams().getContent()).value);
+        requireCurrentLink();
+        context.getResults().setHave(m_client.receiveContent(context.getParams().getContent()).value);
         return kj::READY_NOW;
     }
 
     kj::Promise<void> endpoints(EndpointsContext context) override
     {
-        refuseOld();
-        m_client.takeEndpoints(context.getParams().getDelta());
+        requireCurrentLink();
+        m_client.receiveEndpoints(context.getParams().getDelta());
         write(context.getResults().initCursor(), m_client.m_mirror.cursor);
         return kj::READY_NOW;
     }
 
     kj::Promise<void> sources(SourcesContext context) override
     {
-        refuseOld();
-        std::vector<base::Address> told;
+        requireCurrentLink();
+        std::vector<base::Address> addresses;
         for (const auto text : context.getParams().getAddresses()) {
             if (const auto address = base::parseAddress(text.cStr()))
-                told.push_back(address.value());
+                addresses.push_back(address.value());
         }
-        m_client.addSources(told);
+        m_client.addSources(addresses);
         return kj::READY_NOW;
     }
 
     kj::Promise<void> leave(LeaveContext context) override
     {
-        refuseOld();
+        requireCurrentLink();
         m_client.m_refusal = policy::SourceRefusal { base::Duration { context.getParams().getComeBackMs() }, true };
-        m_client.m_refused->fulfill(base::fail(base::Code::SourceIsolated, "the source has lost the other control processes"));
+        m_client.m_linkEnder->fulfill(base::fail(base::Code::SourceIsolated, "source is isolated from the other control processes"));
         return kj::READY_NOW;
     }
 
 private:
-    // A call that was still under way on the link before must not answer for what the new one brought.
-    void refuseOld() const
+    // A call still in flight on an earlier link must not change or report the state of the current one.
+    void requireCurrentLink() const
     {
         if (m_generation != m_client.m_generation)
-            kj::throwFatalException(KJ_EXCEPTION(FAILED, "a feed of an earlier link"));
+            kj::throwFatalException(KJ_EXCEPTION(FAILED, "feed belongs to an earlier link"));
     }
 
     SourceClient& m_client; // outlives its links
@@ -82,8 +82,8 @@
     , m_timer(io.provider->getTimer())
     , m_settings(std::move(settings))
     , m_hooks(std::move(hooks))
-    , m_tries(kj::heap<kj::TaskSet>(*this))
-    , m_started(base::wallNow())
+    , m_attempts(kj::heap<kj::TaskSet>(*this))
+    , m_startTime(base::wallNow())
     , m_linkTasks(kj::heap<kj::TaskSet>(*this))
 {
     addSources(m_settings.sources);
@@ -95,7 +95,7 @@
 
 void SourceClient::taskFailed(kj::Exception&& problem)
 {
-    // A call failed because its link is ending; the link's own end says why.
+    // Calls fail as DISCONNECTED when their link ends; the end of the link itself is logged with its reason.
     if (problem.getType() != kj::Exception::Type::DISCONNECTED)
         base::logEvent(base::Event::LinkDown, describe(problem));
 }
@@ -117,44 +117,44 @@
 {
     return race()
         .then([this] {
-            m_tries = kj::heap<kj::TaskSet>(*this);
+            m_attempts = kj::heap<kj::TaskSet>(*this);
             policy::endRace(m_race);
-            return prove(m_io, m_settings.membership, m_sources[m_current], m_settings.role, kj::mv(m_connected));
+            return authenticate(m_io, m_settings.membership, m_sources[m_currentSource], m_settings.role, kj::mv(m_connectedStream));
         })
         .then([this](base::Result<kj::Own<RpcLink>> linked) -> kj::Promise<base::Error> {
             if (!linked)
                 return linked.error();
             m_link = kj::mv(linked.value());
             ++m_generation;
-            return use();
+            return runLink();
         })
         .then([this](const base::Error& problem) {
-            linkLost(problem);
+            handleLinkDown(problem);
             return run();
         });
 }
 
 kj::Promise<void> SourceClient::race()
 {
-    if (m_connected.get() != nullptr)
+    if (m_connectedStream.get() != nullptr)
         return kj::READY_NOW;
     const base::Time now = base::steadyNow();
     if (const auto source = policy::nextTry(m_race, now, randomNumber()))
-        m_tries->add(attempt(*source));
+        m_attempts->add(connectTo(*source));
     auto wake = kj::newPromiseAndFulfiller<void>();
-    m_wake = kj::mv(wake.fulfiller);
+    m_raceWaker = kj::mv(wake.fulfiller);
     const base::Duration wait = std::max(base::Duration { 1 }, policy::nextLook(m_race, now) - now);
     return wake.promise.exclusiveJoin(m_timer.afterDelay(wait.ms * kj::MILLISECONDS)).then([this] { return race(); });
 }
 
-kj::Promise<void> SourceClient::attempt(size_t source)
+kj::Promise<void> SourceClient::connectTo(size_t source)
 {
     ++m_counters.connects;
     return dial(m_io, m_sources[source], longConnectTimeout)
         .then(
             [this, source](kj::Own<kj::AsyncIoStream> stream) {
-                m_connected = kj::mv(stream);
-                m_current = source;
+                m_connectedStream = kj::mv(stream);
+                m_currentSource = source;
             },
             [this, source](kj::Exception&&) { sourceFailed(source, std::nullopt); })
         .then([this] { wakeRace(); });
@@ -162,36 +162,36 @@
 
 void SourceClient::wakeRace()
 {
-    if (m_wake.get() != nullptr)
-        m_wake->fulfill();
+    if (m_raceWaker.get() != nullptr)
+        m_raceWaker->fulfill();
 }
 
-void SourceClient::sourceFailed(size_t source, std::optional<policy::SourceRefusal> told)
+void SourceClient::sourceFailed(size_t source, std::optional<policy::SourceRefusal> refusal)
 {
     m_race.sources[source].backoff.urgent = !m_applied.inForce;
-    policy::tryFailed(m_race, source, told, base::steadyNow(), randomNumber());
-    if (++m_failures >= failuresUntilLost)
+    policy::tryFailed(m_race, source, refusal, base::steadyNow(), randomNumber());
+    if (++m_consecutiveFailures >= failuresUntilUnreachable)
         setReachable(false);
 }
 
-kj::Promise<base::Error> SourceClient::use()
+kj::Promise<base::Error> SourceClient::runLink()
 {
-    auto refused = kj::newPromiseAndFulfiller<base::Error>();
-    m_refused = kj::mv(refused.fulfiller);
+    auto endLink = kj::newPromiseAndFulfiller<base::Error>();
+    m_linkEnder = kj::mv(endLink.fulfiller);
     m_linkTasks->add(subscribe().catch_([this](kj::Exception&& problem) {
-        m_refused->fulfill(base::fail(base::Code::PeerGone, describe(problem)));
+        m_linkEnder->fulfill(base::fail(base::Code::PeerGone, describe(problem)));
     }));
-    return whenDisconnected(*m_link).exclusiveJoin(kj::mv(refused.promise));
+    return whenDisconnected(*m_link).exclusiveJoin(kj::mv(endLink.promise));
 }
 
 kj::Promise<void> SourceClient::subscribe()
 {
-    auto ask = m_link->session.castAs<rpc::Source>().subscribeRequest();
-    ask.setHave(heldVersion(m_applied).value);
-    write(ask.initCursor(), m_mirror.cursor);
-    ask.setPromised(m_race.sources[m_current].promised);
-    ask.setFeed(kj::heap<FeedServer>(*this, m_generation));
-    return ask.send().then([this](auto&& answer) -> kj::Promise<void> {
+    auto request = m_link->session.castAs<rpc::Source>().subscribeRequest();
+    request.setHave(heldVersion(m_applied).value);
+    write(request.initCursor(), m_mirror.cursor);
+    request.setPromised(m_race.sources[m_currentSource].promised);
+    request.setFeed(kj::heap<FeedServer>(*this, m_generation));
+    return request.send().then([this](auto&& answer) -> kj::Promise<void> {
         if (failed(answer.getFailure())) {
             const base::Error problem = read(answer.getFailure());
             const bool isolated = problem.code == base::Code::SourceIsolated;
@@ -199,37 +199,37 @@
                 ++m_counters.retryLaterResponses;
                 m_refusal = policy::SourceRefusal { problem.retryAfter, isolated };
             }
-            return KJ_EXCEPTION(OVERLOADED, "refused by the source", problem.text);
+            return KJ_EXCEPTION(OVERLOADED, "rejected by the source", problem.text);
         }
         ++m_counters.links;
         m_subscribed = true;
         base::logEvent(base::Event::SourceTaken, m_link->address.text());
         m_linkedSince = base::steadyNow();
-        m_failures = 0;
-        policy::succeeded(m_race.sources[m_current].backoff);
+        m_consecutiveFailures = 0;
+        policy::succeeded(m_race.sources[m_currentSource].backoff);
         setReachable(true);
         m_endpointsDirty = !m_endpoints.empty();
-        m_inForceDirty = m_inForce.has_value();
+        m_appliedVersionDirty = m_appliedVersion.has_value();
         for (const auto& [key, it] : m_evidence)
             m_evidenceDirty[key] = true;
         sendReport();
-        m_linkTasks->add(renewals());
-        return m_applied.floor ? kj::Promise<void>(kj::READY_NOW) : proveBoot();
+        m_linkTasks->add(renewPeriodically());
+        return m_applied.floor ? kj::Promise<void>(kj::READY_NOW) : fetchMinimumVersion();
     });
 }
 
-kj::Promise<void> SourceClient::proveBoot()
+kj::Promise<void> SourceClient::fetchMinimumVersion()
 {
     return m_link->session.castAs<rpc::Source>().bootFloorRequest().send().then([this](auto&& answer) -> kj::Promise<void> {
         if (failed(answer.getFailure()))
-            return m_timer.afterDelay(proofPause.ms * kj::MILLISECONDS).then([this] { return proveBoot(); });
-        base::logEvent(base::Event::BootVersionProven, "starts at no less than version " + std::to_string(answer.getVersion()));
-        offer(raiseFloor(m_applied, { answer.getVersion() }));
+            return m_timer.afterDelay(minimumVersionRetryDelay.ms * kj::MILLISECONDS).then([this] { return fetchMinimumVersion(); });
+        base::logEvent(base::Event::BootVersionProven, "minimum version at start is " + std::to_string(answer.getVersion()));
+        publishApplied(raiseFloor(m_applied, { answer.getVersion() }));
         return kj::READY_NOW;
     });
 }
 
-void SourceClient::linkLost(const base::Error& problem)
+void SourceClient::handleLinkDown(const base::Error& problem)
 {
     if (m_link) {
         m_counters.bytesIn += m_link->connection->bytesIn();
@@ -244,7 +244,7 @@
     m_linkTasks = kj::heap<kj::TaskSet>(*this);
     ++m_generation;
     m_link = nullptr;
-    sourceFailed(m_current, std::exchange(m_refusal, std::nullopt));
+    sourceFailed(m_currentSource, std::exchange(m_refusal, std::nullopt));
 }
 
 void SourceClient::setReachable(bool reachable)
@@ -258,57 +258,57 @@
 
 // --- Content ---
 
-base::ConfigVersion SourceClient::take(rpc::Content::Reader in)
+base::ConfigVersion SourceClient::receiveContent(rpc::Content::Reader message)
 {
-    const EncodedVersion piece { { in.getVersion() }, { in.getFrom() }, bytes(in.getBytes()) };
-    const auto taken = apply(m_applied, piece);
+    const EncodedVersion encoded { { message.getVersion() }, { message.getFrom() }, bytes(message.getBytes()) };
+    const auto taken = apply(m_applied, encoded);
     if (!taken) {
-        const bool misfit = taken.error().code == base::Code::DeltaDoesNotFit;
-        ++(misfit ? m_counters.mismatches : m_counters.refused);
-        if (taken.error().code != base::Code::VersionTooOld) // late or doubled: nothing to see
-            base::logEvent(base::Event::VersionRefused, "version " + std::to_string(in.getVersion()) + ": " + taken.error().text);
-        return misfit ? base::ConfigVersion {} : heldVersion(m_applied); // after a misfit only a whole snapshot helps
+        const bool mismatch = taken.error().code == base::Code::DeltaDoesNotFit;
+        ++(mismatch ? m_counters.mismatches : m_counters.rejectedVersions);
+        if (taken.error().code != base::Code::VersionTooOld) // late or duplicate content is normal
+            base::logEvent(base::Event::VersionRefused, "version " + std::to_string(message.getVersion()) + ": " + taken.error().text);
+        return mismatch ? base::ConfigVersion {} : heldVersion(m_applied); // after a mismatch, request a full snapshot
     }
-    ++(piece.from.value == 0 ? m_counters.snapshots : m_counters.deltas);
-    offer(taken.value());
+    ++(encoded.from.value == 0 ? m_counters.snapshots : m_counters.deltas);
+    publishApplied(taken.value());
     return heldVersion(m_applied);
 }
 
-void SourceClient::offer(bool isNew)
+void SourceClient::publishApplied(bool changed)
 {
-    if (!isNew)
+    if (!changed)
         return;
-    dropOldEvidence();
+    dropEndedEvidence();
     if (m_hooks.released)
         m_hooks.released(m_applied.inForce);
 }
 
-// A new source is told all evidence that is held; of rollouts that are over nobody wants any.
-void SourceClient::dropOldEvidence()
+// All evidence is sent again to a new source; that of ended rollouts is no longer used.
+void SourceClient::dropEndedEvidence()
 {
-    const auto isOver = [this](const auto& entry) { return !config::rolloutRuns(*m_applied.inForce, std::get<base::ServiceName>(entry.first)); };
-    std::erase_if(m_evidence, isOver);
-    std::erase_if(m_evidenceDirty, isOver);
+    const auto rolloutEnded = [this](const auto& entry) { return !config::rolloutRuns(*m_applied.inForce, std::get<base::ServiceName>(entry.first)); };
+    std::erase_if(m_evidence, rolloutEnded);
+    std::erase_if(m_evidenceDirty, rolloutEnded);
 }
 
 // --- Endpoints ---
 
-void SourceClient::takeEndpoints(rpc::EndpointsDelta::Reader in)
+void SourceClient::receiveEndpoints(rpc::EndpointsDelta::Reader message)
 {
-    const auto delta = read(in);
+    const auto delta = read(message);
     if (!delta)
-        kj::throwFatalException(KJ_EXCEPTION(FAILED, "endpoints that cannot be read", delta.error().text));
-    const auto news = config::applyEndpoints(m_mirror, delta.value(), base::steadyNow());
-    if (news)
-        tellEndpoints(news.value());
+        kj::throwFatalException(KJ_EXCEPTION(FAILED, "endpoints cannot be decoded", delta.error().text));
+    const auto changes = config::applyEndpoints(m_mirror, delta.value(), base::steadyNow());
+    if (changes)
+        notifyEndpoints(changes.value());
     else
-        ++m_counters.endpointMismatches; // the cursor that goes back with the answer asks for what is missing
+        ++m_counters.endpointMismatches; // the cursor in the reply requests what is missing
 }
 
-void SourceClient::tellEndpoints(const std::vector<config::Endpoint>& news)
+void SourceClient::notifyEndpoints(const std::vector<config::Endpoint>& changes)
 {
-    if (m_hooks.endpoints && !news.empty())
-        m_hooks.endpoints(news);
+    if (m_hooks.endpoints && !changes.empty())
+        m_hooks.endpoints(changes);
 }
 
 // --- Reports ---
@@ -325,11 +325,11 @@
 
 void SourceClient::setAppliedVersion(base::ConfigVersion version)
 {
-    if (!m_inForce)
-        m_inForce = NodeAppliedVersion { m_settings.membership.host, { static_cast<uint64_t>(m_started.ms) }, {}, {}, false };
-    m_inForce->version = version;
-    m_inForceSince = base::steadyNow();
-    m_inForceDirty = true;
+    if (!m_appliedVersion)
+        m_appliedVersion = NodeAppliedVersion { m_settings.membership.host, { static_cast<uint64_t>(m_startTime.ms) }, {}, {}, false };
+    m_appliedVersion->version = version;
+    m_appliedSince = base::steadyNow();
+    m_appliedVersionDirty = true;
     sendReport();
 }
 
@@ -343,7 +343,7 @@
     sendReport();
 }
 
-NodeReport SourceClient::dirtyReport()
+NodeReport SourceClient::takePendingReport()
 {
     NodeReport out;
     if (std::exchange(m_endpointsDirty, false)) {
@@ -352,9 +352,9 @@
             out.endpoints.push_back(it);
         }
     }
-    if (std::exchange(m_inForceDirty, false)) {
-        out.appliedVersions.push_back(*m_inForce);
-        out.appliedVersions.back().since = base::steadyNow() - m_inForceSince;
+    if (std::exchange(m_appliedVersionDirty, false)) {
+        out.appliedVersions.push_back(*m_appliedVersion);
+        out.appliedVersions.back().since = base::steadyNow() - m_appliedSince;
     }
     for (const auto& [key, it] : std::exchange(m_evidenceDirty, {}))
         out.evidence.push_back(m_evidence[key]);
@@ -366,33 +366,33 @@
     if (!m_subscribed || m_reporting)
         return;
     m_reporting = true;
-    m_linkTasks->add(m_timer.afterDelay(reportPause.ms * kj::MILLISECONDS).then([this]() -> kj::Promise<void> {
-                                                                              const NodeReport report = dirtyReport();
-                                                                              if (report.empty())
-                                                                                  return kj::READY_NOW;
-                                                                              auto ask = m_link->session.castAs<rpc::Source>().reportRequest();
-                                                                              write(ask.initReport(), report);
-                                                                              return ask.send().ignoreResult();
-                                                                          })
+    m_linkTasks->add(m_timer.afterDelay(reportBatchInterval.ms * kj::MILLISECONDS).then([this]() -> kj::Promise<void> {
+                                                                                      const NodeReport report = takePendingReport();
+                                                                                      if (report.empty())
+                                                                                          return kj::READY_NOW;
+                                                                                      auto request = m_link->session.castAs<rpc::Source>().reportRequest();
+                                                                                      write(request.initReport(), report);
+                                                                                      return request.send().ignoreResult();
+                                                                                  })
                          .then([this] {
                              m_reporting = false;
-                             if (m_endpointsDirty || m_inForceDirty || !m_evidenceDirty.empty())
+                             if (m_endpointsDirty || m_appliedVersionDirty || !m_evidenceDirty.empty())
                                  sendReport();
                          }));
 }
 
-kj::Promise<void> SourceClient::renewals()
+kj::Promise<void> SourceClient::renewPeriodically()
 {
     return m_timer.afterDelay(config::endpointRenewal.ms * kj::MILLISECONDS).then([this] {
         m_endpointsDirty = !m_endpoints.empty();
-        m_inForceDirty = m_inForce.has_value();
+        m_appliedVersionDirty = m_appliedVersion.has_value();
         sendReport();
-        tellEndpoints(config::dropDoubted(m_mirror, m_linkedSince, base::steadyNow()));
-        return renewals();
+        notifyEndpoints(config::dropDoubted(m_mirror, m_linkedSince, base::steadyNow()));
+        return renewPeriodically();
     });
 }
 
-kj::Promise<void> SourceClient::leave(base::Duration bound)
+kj::Promise<void> SourceClient::leave(base::Duration timeout)
 {
     if (!m_subscribed)
         return kj::READY_NOW;
@@ -401,17 +401,17 @@
         ++it.endpoint.sequence.value;
         it.heartbeat = 0;
     }
-    if (m_inForce)
-        m_inForce->left = true;
+    if (m_appliedVersion)
+        m_appliedVersion->left = true;
     m_endpointsDirty = !m_endpoints.empty();
-    m_inForceDirty = m_inForce.has_value();
-    const NodeReport report = dirtyReport();
-    auto ask = m_link->session.castAs<rpc::Source>().reportRequest();
-    write(ask.initReport(), report);
-    return ask.send().ignoreResult().exclusiveJoin(m_timer.afterDelay(bound.ms * kj::MILLISECONDS)).catch_([](kj::Exception&&) {});
+    m_appliedVersionDirty = m_appliedVersion.has_value();
+    const NodeReport report = takePendingReport();
+    auto request = m_link->session.castAs<rpc::Source>().reportRequest();
+    write(request.initReport(), report);
+    return request.send().ignoreResult().exclusiveJoin(m_timer.afterDelay(timeout.ms * kj::MILLISECONDS)).catch_([](kj::Exception&&) {});
 }
 
-// --- Looking in ---
+// --- Inspection ---
 
 SourceClientCounters SourceClient::counters() const
 {
@@ -428,7 +428,7 @@
     const SourceClientCounters sum = counters();
     return { { "source", m_link.get() != nullptr ? m_link->address.text() : "" }, { "subscribed", m_subscribed }, { "held", heldVersion(m_applied).value },
         { "in_force", versionInForce(m_applied).value }, { "floor", m_applied.floor ? nlohmann::json(m_applied.floor->value) : nlohmann::json() }, { "refusal", m_applied.refusal }, { "connects", sum.connects }, { "links", sum.links },
-        { "came_back_later", sum.retryLaterResponses }, { "snapshots", sum.snapshots }, { "deltas", sum.deltas }, { "misfits", sum.mismatches }, { "refused", sum.refused },
+        { "came_back_later", sum.retryLaterResponses }, { "snapshots", sum.snapshots }, { "deltas", sum.deltas }, { "misfits", sum.mismatches }, { "refused", sum.rejectedVersions },
         { "endpoints", m_mirror.entries.size() }, { "endpoint_misfits", sum.endpointMismatches }, { "bytes_in", sum.bytesIn }, { "bytes_out", sum.bytesOut } };
 }
 
--- a/tests/unresponsive_address.h
+++ b/tests/unresponsive_address.h
@@ -1,4 +1,4 @@
-// An address on loopback that takes no connection and refuses none, as that of a host without power.
+// A loopback address that neither accepts nor refuses connections, like that of a host without power.
 #pragma once
 
 #include "appletally/base/ids.h"
@@ -10,7 +10,7 @@
 #include <unistd.h>
 #include <vector>
 
-// A listener whose queue of connections is full and that accepts none: the kernel drops what else comes.
+// A listener with a full backlog that never accepts: the kernel drops further connection attempts.
 class UnresponsiveAddress {
 public:
     UnresponsiveAddress()
@@ -24,10 +24,10 @@
         socklen_t n = sizeof at;
         getsockname(m_sockets[0], reinterpret_cast<sockaddr*>(&at), &n);
         address = { "127.0.0.1", ntohs(at.sin_port) };
-        constexpr int enough = 4;
-        for (int it = 0; it < enough; ++it) {
+        constexpr int backlogConnections = 4;
+        for (int it = 0; it < backlogConnections; ++it) {
             m_sockets.push_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
-            (void)connect(m_sockets.back(), reinterpret_cast<sockaddr*>(&at), sizeof at); // those that do not fit stay under way
+            (void)connect(m_sockets.back(), reinterpret_cast<sockaddr*>(&at), sizeof at); // those beyond the backlog stay in SYN-SENT
         }
     }
     ~UnresponsiveAddress()
