--- a/bench/light_nodes.cpp
+++ b/bench/light_nodes.cpp
@@ -52,7 +52,7 @@
         settings.membership.host = host;
         inner::SourceClientHooks hooks;
         hooks.released = [this, &it](const std::shared_ptr<const config::Snapshot>& snapshot) {
-            it.client->inForce(snapshot->version);
+            it.client->setAppliedVersion(snapshot->version);
             recordApplied(snapshot->version);
         };
         hooks.endpoints = [this](const std::vector<config::Endpoint>& endpoints) { m_endpointRecords += endpoints.size(); };
@@ -83,7 +83,7 @@
                 const inner::SourceClientCounters sum = it->client->counters();
                 in += sum.bytesIn;
                 out += sum.bytesOut;
-                retryLater += sum.cameBackLater;
+                retryLater += sum.retryLaterResponses;
                 fullSnapshots += sum.snapshots;
                 ready += config::appliedVersion(it->client->applied()).value != 0;
             }
--- a/src/appletally/control/convergence.h
+++ b/src/appletally/control/convergence.h
@@ -28,7 +28,7 @@
 
 void recordAccepted(Convergence&, base::ConfigVersion, base::Time now);
 void recordReleased(Convergence&, base::ConfigVersion, base::Time now);
-void recordReports(Convergence&, const std::vector<inner::NodeInForce>&, base::Time now);
+void recordReports(Convergence&, const std::vector<inner::NodeAppliedVersion>&, base::Time now);
 void expireNodes(Convergence&, base::Time now); // removes unreachable nodes
 
 // Number of reachable nodes that have applied the version or a later one.
--- a/src/appletally/control/distributor.cpp
+++ b/src/appletally/control/distributor.cpp
@@ -214,14 +214,14 @@
     pushEndpoints(id, it->second);
 }
 
-const inner::ContentPiece& Distributor::contentPiece(base::ConfigVersion from)
+const inner::EncodedVersion& Distributor::contentPiece(base::ConfigVersion from)
 {
     auto known = m_recentContent.find(from);
     const base::ConfigVersion start = known == m_recentContent.end() ? base::ConfigVersion {} : from;
     auto it = m_contentPieces.find(start);
     if (it == m_contentPieces.end()) {
         const config::Snapshot* old = known == m_recentContent.end() ? nullptr : known->second.get();
-        it = m_contentPieces.emplace(start, inner::makePiece(*m_content, old)).first;
+        it = m_contentPieces.emplace(start, inner::encodeVersion(*m_content, old)).first;
     }
     return it->second;
 }
@@ -234,7 +234,7 @@
         finishStart(it);
         return;
     }
-    const inner::ContentPiece& next = contentPiece(it.have);
+    const inner::EncodedVersion& next = contentPiece(it.have);
     ++(next.from.value == 0 ? m_counters.wholeSent : m_counters.deltasSent);
     m_counters.contentBytes += next.bytes.size();
     auto request = it.feed.contentRequest();
--- a/src/appletally/control/distributor.h
+++ b/src/appletally/control/distributor.h
@@ -101,7 +101,7 @@
     void pushEndpoints(uint64_t id, Subscriber&);
     void onContentConfirmed(uint64_t id, bool whole, base::ConfigVersion sent, base::ConfigVersion have);
     void finishStart(Subscriber&);
-    const inner::ContentPiece& contentPiece(base::ConfigVersion from);
+    const inner::EncodedVersion& contentPiece(base::ConfigVersion from);
 
     kj::Timer& m_timer;
     DistributorLimits m_limits;
@@ -112,7 +112,7 @@
 
     std::shared_ptr<const config::Snapshot> m_content;
     std::map<base::ConfigVersion, std::shared_ptr<const config::Snapshot>> m_recentContent; // base versions for deltas
-    std::map<base::ConfigVersion, inner::ContentPiece> m_contentPieces; // messages that lead to m_content, by base version
+    std::map<base::ConfigVersion, inner::EncodedVersion> m_contentPieces; // messages that lead to m_content, by base version
 
     // One encoded batch of endpoints. Most subscribers have the same cursor and share it.
     struct EndpointBatch {
--- a/src/appletally/control/peer_link.cpp
+++ b/src/appletally/control/peer_link.cpp
@@ -44,14 +44,14 @@
 kj::Promise<void> PeerLink::run()
 {
     const bool patient = ++m_connects % patientConnectInterval == 0;
-    return inner::connect(m_io, m_membership, m_peer.address, inner::rpc::Role::PEER, patient ? inner::patientConnectLimit : inner::connectLimit)
+    return inner::connect(m_io, m_membership, m_peer.address, inner::rpc::Role::PEER, patient ? inner::longConnectTimeout : inner::connectTimeout)
         .then([this](base::Result<kj::Own<inner::RpcLink>> linked) -> kj::Promise<base::Error> {
             if (!linked)
                 return linked.error();
             m_link = kj::mv(linked.value());
             m_session = m_link->session.castAs<inner::rpc::Peer>();
             m_tasks->add(handshake());
-            return inner::whenOver(*m_link);
+            return inner::whenDisconnected(*m_link);
         })
         .then([this](const base::Error& problem) {
             onLinkLost(problem);
--- a/src/appletally/inner/content.cpp
+++ b/src/appletally/inner/content.cpp
@@ -1,23 +1,23 @@
-// Snapshots and deltas to compressed bytes and back.
+// Encoding and decoding of snapshots and deltas.
 #include "appletally/inner/content.h"
 
 #include "appletally/config/codec.h"
 
 namespace appletally::inner {
 
-ContentPiece makePiece(const config::Snapshot& target, const config::Snapshot* from)
+EncodedVersion encodeVersion(const config::Snapshot& target, const config::Snapshot* from)
 {
     if (!from)
         return { target.version, {}, config::compress(config::encode(target)) };
     return { target.version, from->version, config::compress(config::encode(config::difference(*from, target))) };
 }
 
-base::Result<bool> apply(config::AppliedConfig& applied, const ContentPiece& piece)
+base::Result<bool> apply(config::AppliedConfig& applied, const EncodedVersion& encoded)
 {
-    auto plain = config::decompress(piece.bytes);
+    auto plain = config::decompress(encoded.bytes);
     if (!plain)
         return plain.error();
-    if (piece.from.value == 0) {
+    if (encoded.from.value == 0) {
         auto snapshot = config::decodeSnapshot(plain.value());
         if (!snapshot)
             return snapshot.error();
--- a/tests/control_distribution_test.cpp
+++ b/tests/control_distribution_test.cpp
@@ -7,7 +7,7 @@
 #include "appletally/inner/rpc_port.h"
 #include "appletally/inner/source_client.h"
 #include "control_fixture.h"
-#include "deaf_address.h"
+#include "unresponsive_address.h"
 
 #include <catch2/catch.hpp>
 #include <kj/timer.h>
@@ -351,7 +351,7 @@
     // down, and packets to them are dropped silently and resent after one second. Callers were rejected for that second
     // although another source was up.
     auto io = kj::setupAsyncIo();
-    DeafAddress unresponsive;
+    UnresponsiveAddress unresponsive;
     TestSource connected(io, unlimited());
     connected.distributor.contentReleased(snapshot(2));
     constexpr int nodes = 8; // half of them start with the unresponsive address
--- a/tests/control_gate_test.cpp
+++ b/tests/control_gate_test.cpp
@@ -73,7 +73,7 @@
     CHECK(otherKey.error().code == base::Code::WrongKey);
 
     it.works(*good.value());
-    CHECK(it.port.counters().proven == 1);
+    CHECK(it.port.counters().authenticated == 1);
     CHECK(it.port.counters().wrongCluster == 1);
 }
 
@@ -100,7 +100,7 @@
     again.setProof(kj::heapArray<kj::byte>(macBytes));
     CHECK(again.send().wait(it.io.waitScope).getFailure().getCode() == static_cast<uint16_t>(base::Code::MessageMalformed));
     connection.ended().wait(it.io.waitScope);
-    CHECK(it.port.counters().proven == 0);
+    CHECK(it.port.counters().authenticated == 0);
 }
 
 TEST_CASE("invalid or oversized messages close only their own connection", "[control][gate]")
@@ -137,7 +137,7 @@
     PortFixture it;
     auto stream = it.raw();
     CHECK(it.closes(*stream));
-    CHECK(it.port.counters().unproven == 1);
+    CHECK(it.port.counters().unauthenticated == 1);
     CHECK(it.link(member("mesh", 1)));
 }
 
@@ -174,11 +174,11 @@
     auto linked = connect(it.io, member("mesh", 1), middle, rpc::Role::NODE).wait(it.io.waitScope);
     REQUIRE(linked);
     it.works(*linked.value());
-    auto over = whenOver(*linked.value());
+    auto over = whenDisconnected(*linked.value());
     dropping = true;
     const base::Time began = base::steadyNow();
     CHECK(over.wait(it.io.waitScope).code == base::Code::PeerTimedOut);
-    CHECK(base::steadyNow() - began < rpcSilenceLimit + rpcBeatEvery * 3);
+    CHECK(base::steadyNow() - began < rpcSilenceTimeout + rpcHeartbeatInterval * 3);
     while (it.port.counters().silent == 0)
         it.io.provider->getTimer().afterDelay(10 * kj::MILLISECONDS).wait(it.io.waitScope);
     CHECK(it.link(member("mesh", 1))); // a new connection works
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -1,6 +1,6 @@
 // The call path through two nodes: answers to callers, also when a part of the path fails.
-#include "deaf_address.h"
 #include "node_fixture.h"
+#include "unresponsive_address.h"
 
 #include <catch2/catch.hpp>
 
@@ -210,7 +210,7 @@
     it.b.fromControl.send(inner::EndpointsChanged { { old } });
     for (int n = 0; n < 20; ++n)
         CHECK(it.ask("GET", "/berths/7")->status == 200);
-    it.b.fromControl.send(inner::DumpAsked { 1 });
+    it.b.fromControl.send(inner::DumpRequested { 1 });
     REQUIRE(it.mesh.run([&] { return std::holds_alternative<inner::DumpAnswered>(it.b.toControl.back()); }));
     const auto dump = base::Json::parse(std::get<inner::DumpAnswered>(it.b.toControl.back()).json);
     CHECK(dump["ingress"]["counts"]["retried"] <= 2); // the host is not selected again after its refusal
@@ -224,7 +224,7 @@
     const auto reported = [&] {
         uint64_t answers = 0;
         for (const inner::FromNode& message : it.a.toControl) {
-            const auto* seen = std::get_if<inner::EvidenceSeen>(&message);
+            const auto* seen = std::get_if<inner::EvidenceCollected>(&message);
             for (const config::Evidence& each : seen ? seen->evidence : std::vector<config::Evidence> {})
                 answers = std::max(answers, each.answers + each.coldAnswers);
         }
@@ -246,7 +246,7 @@
     // A host loses power, and its record expires only after seconds. A node without a link to it sends a request there and
     // gets no response, not even a refusal. The caller waited for a second or until its deadline while an upstream was idle.
     NodePair it;
-    DeafAddress deaf;
+    UnresponsiveAddress deaf;
     config::Endpoint unresponsive;
     for (const inner::FromNode& message : it.a.toControl) {
         if (const auto* announced = std::get_if<inner::EndpointAnnounced>(&message))
