--- a/src/appletally/config/applied.h
+++ b/src/appletally/config/applied.h
@@ -26,7 +26,7 @@
 
 // Each returns whether a new version is applied now. On an error only `refused` and `refusal` may have changed:
 //   VersionTooOld    not above the held version: duplicated, reordered, or from a source that lags
-//   DeltaDoesNotFit  request a snapshot, or a delta from heldVersion()
+//   DeltaMismatch  request a snapshot, or a delta from heldVersion()
 //   others           from validate(): rejected as a whole; the applied version stays
 base::Result<bool> applySnapshot(AppliedConfig&, Snapshot);
 base::Result<bool> applyDelta(AppliedConfig&, const Delta&);
--- a/src/appletally/config/codec.cpp
+++ b/src/appletally/config/codec.cpp
@@ -85,7 +85,7 @@
         RouteSeed,
         RolloutSeed,
         KeepersSeed,
-        PaceSeed,
+        TimingSeed,
         LimitsSeed };
 
     uint64_t hashOf(std::string_view bytes, HashSeed seed) { return XXH3_64bits_withSeed(bytes.data(), bytes.size(), seed); }
@@ -388,7 +388,7 @@
     if (it.sum.known)
         return it.sum.value;
     return sumOf(it.services, ServiceSeed) + sumOf(it.routes, RouteSeed) + sumOf(it.rollouts, RolloutSeed)
-        + partHash(it.keepers, KeepersSeed) + partHash(it.timing, PaceSeed) + partHash(it.callerLimits, LimitsSeed);
+        + partHash(it.keepers, KeepersSeed) + partHash(it.timing, TimingSeed) + partHash(it.callerLimits, LimitsSeed);
 }
 
 ContentSum sumAfter(const Snapshot& from, const Snapshot& to)
@@ -398,7 +398,7 @@
     out += sumDifference(from.routes, to.routes, RouteSeed);
     out += sumDifference(from.rollouts, to.rollouts, RolloutSeed);
     out += sumDifferenceOfPart(from.keepers, to.keepers, KeepersSeed);
-    out += sumDifferenceOfPart(from.timing, to.timing, PaceSeed);
+    out += sumDifferenceOfPart(from.timing, to.timing, TimingSeed);
     out += sumDifferenceOfPart(from.callerLimits, to.callerLimits, LimitsSeed);
     return { out, true };
 }
--- a/src/appletally/config/delta.h
+++ b/src/appletally/config/delta.h
@@ -34,7 +34,7 @@
 
 // The snapshot at `delta.to`, not yet validated. Repeating a delta is harmless. Errors:
 //   VersionTooOld    `snapshot` is at `delta.to` or above: the delta is duplicated or late
-//   DeltaDoesNotFit  the delta has another base version, or its result has another hash
+//   DeltaMismatch  the delta has another base version, or its result has another hash
 base::Result<Snapshot> patch(const Snapshot& snapshot, const Delta& delta);
 
 std::string encode(const Delta&);
--- a/src/appletally/config/endpoint_mirror.h
+++ b/src/appletally/config/endpoint_mirror.h
@@ -27,7 +27,7 @@
 
 // Returns the endpoints that changed. On an error nothing has changed:
 //   VersionTooOld    duplicated or late; harmless
-//   DeltaDoesNotFit  an earlier delta is missing; request again from `cursor`
+//   DeltaMismatch  an earlier delta is missing; request again from `cursor`
 base::Result<std::vector<Endpoint>> applyEndpoints(EndpointMirror&, const EndpointsDelta&, base::Time now);
 
 // Removes endpoints that were unconfirmed for endpointLifetime and returns them in state Gone. To be called only while a
--- a/src/appletally/control/distributor.cpp
+++ b/src/appletally/control/distributor.cpp
@@ -235,7 +235,7 @@
         return;
     }
     const inner::EncodedVersion& next = contentPiece(it.have);
-    ++(next.from.value == 0 ? m_counters.wholeSent : m_counters.deltasSent);
+    ++(next.from.value == 0 ? m_counters.snapshotsSent : m_counters.deltasSent);
     m_counters.contentBytes += next.bytes.size();
     auto request = it.feed.contentRequest();
     auto content = request.initContent();
@@ -243,19 +243,19 @@
     content.setFrom(next.from.value);
     content.setBytes(inner::toData(next.bytes));
     it.contentBusy = true;
-    const bool whole = next.from.value == 0;
+    const bool isSnapshot = next.from.value == 0;
     const base::ConfigVersion sent = next.version;
-    m_tasks.add(request.send().then([this, id, whole, sent](auto&& answer) { onContentConfirmed(id, whole, sent, { answer.getHave() }); }));
+    m_tasks.add(request.send().then([this, id, isSnapshot, sent](auto&& answer) { onContentConfirmed(id, isSnapshot, sent, { answer.getHave() }); }));
 }
 
-void Distributor::onContentConfirmed(uint64_t id, bool whole, base::ConfigVersion sent, base::ConfigVersion have)
+void Distributor::onContentConfirmed(uint64_t id, bool isSnapshot, base::ConfigVersion sent, base::ConfigVersion have)
 {
     auto found = m_subscribers.find(id);
     if (found == m_subscribers.end())
         return;
     Subscriber& it = found->second;
     it.contentBusy = false;
-    if (have < sent && (whole || have == it.have))
+    if (have < sent && (isSnapshot || have == it.have))
         it.refused = sent;
     it.have = have;
     pushContent(id, it);
@@ -312,7 +312,7 @@
 {
     return { { "version", m_content ? m_content->version.value : 0 }, { "subscribers", m_subscribers.size() }, { "starting", m_startingCount }, { "isolated", m_isolated },
         { "endpoints", m_endpoints.entries.size() }, { "subscribed", m_counters.subscribed }, { "came_back_later", m_counters.rejectedSubscriptions },
-        { "whole_sent", m_counters.wholeSent }, { "deltas_sent", m_counters.deltasSent }, { "content_bytes", m_counters.contentBytes },
+        { "whole_sent", m_counters.snapshotsSent }, { "deltas_sent", m_counters.deltasSent }, { "content_bytes", m_counters.contentBytes },
         { "endpoint_messages", m_counters.endpointMessages }, { "endpoint_records", m_counters.endpointRecords } };
 }
 
--- a/src/appletally/control/distributor.h
+++ b/src/appletally/control/distributor.h
@@ -31,7 +31,7 @@
 struct DistributorCounters {
     uint64_t subscribed = 0;
     uint64_t rejectedSubscriptions = 0; // with a time to retry after
-    uint64_t wholeSent = 0;
+    uint64_t snapshotsSent = 0;
     uint64_t deltasSent = 0;
     uint64_t contentBytes = 0;
     uint64_t endpointMessages = 0;
@@ -61,7 +61,7 @@
     // `endpoints` must outlive the distributor; call endpointsChanged() after each change to it.
     Distributor(kj::Timer&, DistributorLimits, const config::EndpointRegistry& endpoints);
 
-    // Errors: ComeBackLater if the source is overloaded, SourceIsolated if it cannot reach the other control processes.
+    // Errors: RetryLater if the source is overloaded, SourceIsolated if it cannot reach the other control processes.
     base::Result<Subscription> subscribe(const base::HostId& host, base::ConfigVersion have, config::EndpointCursor, inner::rpc::Feed::Client, bool promised);
     void unsubscribe(uint64_t subscriber); // idempotent
 
@@ -99,7 +99,7 @@
     void pushSources(Subscriber&);
     void pushContent(uint64_t id, Subscriber&);
     void pushEndpoints(uint64_t id, Subscriber&);
-    void onContentConfirmed(uint64_t id, bool whole, base::ConfigVersion sent, base::ConfigVersion have);
+    void onContentConfirmed(uint64_t id, bool isSnapshot, base::ConfigVersion sent, base::ConfigVersion have);
     void finishStart(Subscriber&);
     const inner::EncodedVersion& contentPiece(base::ConfigVersion from);
 
--- a/src/appletally/control/peer_link.cpp
+++ b/src/appletally/control/peer_link.cpp
@@ -17,7 +17,7 @@
     // Batches the reports of many nodes into one message; the delay adds to the propagation time of endpoints.
     constexpr base::Duration reportBatchDelay { 10 };
 
-    constexpr uint64_t patientConnectInterval = 3; // every n-th connect uses patientConnectLimit
+    constexpr uint64_t longConnectInterval = 3; // every n-th connect uses longConnectTimeout
 
     // Voters must reconnect quickly, because a leader may lack its majority until then.
     constexpr int maxBackoffFailures = 1; // keeps waits at 200 ms or less; about a dozen control processes are no thundering herd
@@ -43,8 +43,8 @@
 
 kj::Promise<void> PeerLink::run()
 {
-    const bool patient = ++m_connects % patientConnectInterval == 0;
-    return inner::connect(m_io, m_membership, m_peer.address, inner::rpc::Role::PEER, patient ? inner::longConnectTimeout : inner::connectTimeout)
+    const bool useLongTimeout = ++m_connects % longConnectInterval == 0;
+    return inner::connect(m_io, m_membership, m_peer.address, inner::rpc::Role::PEER, useLongTimeout ? inner::longConnectTimeout : inner::connectTimeout)
         .then([this](base::Result<kj::Own<inner::RpcLink>> linked) -> kj::Promise<base::Error> {
             if (!linked)
                 return linked.error();
--- a/src/appletally/control/process.cpp
+++ b/src/appletally/control/process.cpp
@@ -274,8 +274,8 @@
             continue;
         const config::RolloutRecord& record = m_state.ended.back();
         const bool completed = record.end == config::RolloutEnd::Completed;
-        const bool takenBack = record.end == config::RolloutEnd::RolledBack;
-        const base::Event event = completed ? base::Event::RolloutCompleted : (takenBack ? base::Event::RolloutRolledBack : base::Event::RolloutStopped);
+        const bool rolledBack = record.end == config::RolloutEnd::RolledBack;
+        const base::Event event = completed ? base::Event::RolloutCompleted : (rolledBack ? base::Event::RolloutRolledBack : base::Event::RolloutStopped);
         base::logEvent(event, id.text + ": " + record.reason + "; " + describeReadyUpstreams(it));
     }
 }
--- a/src/appletally/ctl/explain.cpp
+++ b/src/appletally/ctl/explain.cpp
@@ -93,7 +93,7 @@
         if (is(*end, Event::OutcomeLost))
             return "outcome unknown: " + why + after;
         // A request that was rejected before it was sent has no attempts and no duration.
-        return "rejected and not run: " + why + (end->fields.contains("took_ms") ? after : "");
+        return "refused and not run: " + why + (end->fields.contains("took_ms") ? after : "");
     }
 
     // Why `host` has no line with one of `events` near the time `around`, which is by another host's clock.
--- a/src/appletally/inner/rpc_connection.h
+++ b/src/appletally/inner/rpc_connection.h
@@ -2,7 +2,7 @@
 //
 // A connection can stop delivering data for good without an error at either end, because a device between them lost its
 // state. Calls on it would then never complete. Every byte read counts as a sign of life; a connection that reads none
-// for rpcSilenceTimeout ends with PeerSilent, and its owner opens a new one.
+// for rpcSilenceTimeout ends with PeerTimedOut, and its owner opens a new one.
 #pragma once
 
 #include "appletally/base/result.h"
--- a/src/appletally/inner/rpc_link.h
+++ b/src/appletally/inner/rpc_link.h
@@ -14,7 +14,7 @@
     rpc::Session::Client session = nullptr; // cast it to the interface of the role
 };
 
-// Neither promise rejects. Errors: PeerGone (not reachable, or not connected within `limit`), PeerSilent (not authenticated
+// Neither promise rejects. Errors: PeerGone (not reachable, or not connected within `limit`), PeerTimedOut (not authenticated
 // within authenticationTimeout of the connection), WrongCluster, WrongKey (this side's or the peer's), or the peer's own
 // failure.
 kj::Promise<base::Result<kj::Own<RpcLink>>> connect(kj::AsyncIoContext&, const Membership&, const base::Address&, rpc::Role, base::Duration limit = connectTimeout);
--- a/src/appletally/policy/local_version_monitor.cpp
+++ b/src/appletally/policy/local_version_monitor.cpp
@@ -28,7 +28,7 @@
     constexpr double grossFailures = 0.4; // failure rate above the baseline
     constexpr double grossFactor = 2; // multiple of the accepted latency
     constexpr double slowSlack = 0.3; // share of answers beyond that limit which may still be chance or a noisy neighbour
-    constexpr double slowBadness = 0.8;
+    constexpr double slowRegressionShare = 0.8;
 
     bool isCold(const LocalVersionMonitor& it, base::Time now)
     {
@@ -53,7 +53,7 @@
             return;
         const double limit = answer.old->medianMs * grossFactor * bad.latencyPercent / 100;
         const bool slow = static_cast<double>(answer.run.ms) > limit;
-        addRatios(route.slow, ratiosOf(alternativesFor(0, slowSlack, slowBadness), slow ? 1 : 0, 1));
+        addRatios(route.slow, ratiosOf(alternativesFor(0, slowSlack, slowRegressionShare), slow ? 1 : 0, 1));
     }
 
     void countWarm(config::Evidence& evidence, const LocalAnswer& answer)
--- a/src/appletally/policy/local_version_monitor.h
+++ b/src/appletally/policy/local_version_monitor.h
@@ -3,7 +3,7 @@
 // Load pattern: a version that breaks suddenly. It takes some hundred milliseconds until reports have reached control,
 // a decision is committed and a new configuration is applied, and much longer while control is unreachable; every
 // request in that time would be lost. The node beside the upstream sees each answer first. After a few gross failures
-// it rejects further requests for this version with Code::VersionTakenBack, which guarantees "not run", so that the
+// it rejects further requests for this version with Code::VersionRolledBack, which guarantees "not run", so that the
 // caller's node sends the request to the old version. Only gross regressions are detected here; small differences are
 // left to control.
 //
@@ -77,7 +77,7 @@
 
 void onLocalAnswer(LocalVersionMonitor&, const LocalAnswer&, base::Time now);
 
-// If false, reject immediately with Code::VersionTakenBack, before any byte is sent to the upstream.
+// If false, reject immediately with Code::VersionRolledBack, before any byte is sent to the upstream.
 bool mayRun(const LocalVersionMonitor&);
 
 // The reports to send; their counters only grow. Send at most every config::Pace::report, and immediately after a stop.
--- a/src/appletally/policy/rollout.cpp
+++ b/src/appletally/policy/rollout.cpp
@@ -41,7 +41,7 @@
 
     struct Limits {
         double slack = 0; // share of answers beyond the baseline that is still acceptable
-        double badness = 0; // share beyond the baseline that is a regression
+        double regressionShare = 0; // share beyond the baseline that is a regression
     };
 
     Limits limitsOf(RegressionKind kind, const config::RegressionThresholds& bad)
@@ -159,7 +159,7 @@
             if (it.rates[kind] < 0)
                 continue;
             const Limits limits = limitsOf(static_cast<RegressionKind>(kind), bad);
-            const auto alternatives = alternativesFor(it.rates[kind], limits.slack, limits.badness);
+            const auto alternatives = alternativesFor(it.rates[kind], limits.slack, limits.regressionShare);
             const LatencyBins bins = binsOf(streamOfKind.at(kind) == Stream::Busy ? fresh.busy : fresh.quiet);
             if (streamOfKind.at(kind) == Stream::All)
                 out[kind] = ratiosOf(alternatives, static_cast<double>(fresh.failures), static_cast<double>(fresh.answers));
--- a/src/appletally/policy/rollout.h
+++ b/src/appletally/policy/rollout.h
@@ -43,7 +43,7 @@
 };
 
 struct RolloutSettings {
-    std::vector<RolloutShareStep> steps; // the last has 1000; the first step's share is limited by the plan's mostTrialShare
+    std::vector<RolloutShareStep> steps; // the last has 1000; the first step's share is limited by the plan's maxTrialShare
     double rollbackScore = 0; // log likelihood ratio at which a version is rolled back
     double holdScore = 0; // from this score on the share is held until late in the rollout
     uint64_t minAnswersToRaise = 0; // answers on each route, cold start excluded, that allow a raise ahead of schedule
--- a/src/appletally/policy/routing.h
+++ b/src/appletally/policy/routing.h
@@ -89,7 +89,7 @@
 struct PickRequest {
     base::RouteName route;
     std::span<const base::HostId> excluded; // hosts of earlier attempts of a retry or hedge
-    std::optional<base::UpstreamVersion> onlyVersion; // a retry after VersionTakenBack requests the old version
+    std::optional<base::UpstreamVersion> onlyVersion; // a retry after VersionRolledBack requests the old version
     bool mayProbe = true; // false for requests that can't be repeated: they must not probe an ejected upstream
     std::optional<base::Duration> targetLatency {}; // an answer after this is late and of less value, or none, to the caller
 };
--- a/src/appletally/policy/sequential_test.cpp
+++ b/src/appletally/policy/sequential_test.cpp
@@ -20,11 +20,11 @@
     return hits * std::log(it.bad / it.expected) + (n - hits) * std::log((1 - it.bad) / (1 - it.expected));
 }
 
-std::array<Alternative, SequentialTest::alternatives> alternativesFor(double baseline, double slack, double badness)
+std::array<Alternative, SequentialTest::alternatives> alternativesFor(double baseline, double slack, double regressionShare)
 {
     const double expected = std::min(baseline + slack, largestRate);
     const auto bad = [&](double rate) { return std::min(rate, largestRate); };
-    return { Alternative { expected, bad(baseline + badness) }, Alternative { expected, bad(baseline + 5 * badness) },
+    return { Alternative { expected, bad(baseline + regressionShare) }, Alternative { expected, bad(baseline + 5 * regressionShare) },
         Alternative { expected, bad(std::max(grossRate, baseline + grossRate)) } };
 }
 
--- a/src/appletally/policy/sequential_test.h
+++ b/src/appletally/policy/sequential_test.h
@@ -31,8 +31,8 @@
 // Log likelihood ratio of `hits` among `n` answers, for `it` against its expected rate. Fractions of hits are allowed.
 double likelihoodRatio(const Alternative& it, double hits, double n);
 
-// The three alternatives for a baseline rate: up to `slack` above it is acceptable, `badness` above it is a regression.
-std::array<Alternative, SequentialTest::alternatives> alternativesFor(double baseline, double slack, double badness);
+// The three alternatives for a baseline rate: up to `slack` above it is acceptable, `regressionShare` above it is a regression.
+std::array<Alternative, SequentialTest::alternatives> alternativesFor(double baseline, double slack, double regressionShare);
 
 // Adds answers. Ratios of several routes or hosts with their own baselines may be summed and added together.
 using Ratios = std::array<double, SequentialTest::alternatives>;
--- a/tests/explain_test.cpp
+++ b/tests/explain_test.cpp
@@ -52,7 +52,7 @@
     CHECK(eventNumbers(history) == std::vector<int> { 511, 522, 514, 511, 521, 522, 513 });
     CHECK(history.lines[1].host == "b-1");
     CHECK(history.gaps.empty());
-    CHECK(history.outcome == "rejected and not run: no-room (418), no room in time after 4 ms and 2 attempts");
+    CHECK(history.outcome == "refused and not run: no-room (418), no room in time after 4 ms and 2 attempts");
     std::ostringstream out;
     ctl::print(out, history);
     CHECK(out.str().find("a-1 +0 ms  request-sent  upstream=b-1  try=1  left_ms=692") != std::string::npos);
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -246,7 +246,7 @@
     // A host loses power, and its record expires only after seconds. A node without a link to it sends a request there and
     // gets no response, not even a refusal. The caller waited for a second or until its deadline while an upstream was idle.
     NodePair it;
-    UnresponsiveAddress deaf;
+    UnresponsiveAddress unresponsiveAddress;
     config::Endpoint unresponsive;
     for (const inner::FromNode& message : it.a.toControl) {
         if (const auto* announced = std::get_if<inner::EndpointAnnounced>(&message))
@@ -254,7 +254,7 @@
     }
     unresponsive.host = { "dark" };
     unresponsive.zone = { "z2" }; // the callers' own zone
-    unresponsive.inner = deaf.address;
+    unresponsive.inner = unresponsiveAddress.address;
     it.b.fromControl.send(inner::EndpointsChanged { { unresponsive } });
     const base::Time since = base::steadyNow();
     int others = 0;
--- a/tests/retry_test.cpp
+++ b/tests/retry_test.cpp
@@ -217,7 +217,7 @@
     RetryBudget spent { {}, 0 };
     const RetryDecision decision = mayRetry(spent, failedTry(Code::OutcomeUnknown, true), Time { 0 }, 1);
     CHECK_FALSE(decision.retry);
-    CHECK(decision.code == Code::OutcomeUnknown); // it may have run: RetryBudgetSpent would say that it did not
+    CHECK(decision.code == Code::OutcomeUnknown); // it may have run: RetryBudgetExhausted would say that it did not
     CHECK(mayRetry(spent, failedTry(Code::Draining, false), Time { 0 }, 1).retry); // adds no load
     CHECK(mayRetry(spent, failedTry(Code::NoFreeSlot, false), Time { 0 }, 1).retry); // no upstream received it
     CHECK_FALSE(mayRetry(spent, failedTry(Code::Overloaded, false), Time { 0 }, 1).retry); // one did
