--- a/src/appletally/appletally.h
+++ b/src/appletally/appletally.h
@@ -33,7 +33,7 @@
 #include "appletally/policy/claim_round.h"
 #include "appletally/policy/collapse.h"
 #include "appletally/policy/hedge.h"
-#include "appletally/policy/local_verdict.h"
+#include "appletally/policy/local_version_monitor.h"
 #include "appletally/policy/retry.h"
 #include "appletally/policy/rollout.h"
 #include "appletally/policy/routing.h"
@@ -79,14 +79,14 @@
 using policy::finished; // a run ended: who starts now, who is refused now
 using policy::hedgeAfter;
 using policy::HedgeBudget; // a second copy of a late read
-using policy::LocalVerdict; // the node beside a bad version stops it by itself
+using policy::LocalVersionMonitor; // the node beside a bad version stops it by itself
 using policy::mayRetry;
 using policy::offer; // a request comes: Run, Wait or Refuse with when to come back
 using policy::onLocalAnswer;
 using policy::pick;
 using policy::RetryBudget; // how many retries a service is given
+using policy::RolloutDecision;
 using policy::RolloutState; // control's side: when a new version's share rises, and when it is taken back
-using policy::RolloutStep;
 using policy::Router; // at the caller's node: which upstream gets the next request
 using policy::startRound;
 
--- a/src/appletally/control/distributor.h
+++ b/src/appletally/control/distributor.h
@@ -23,7 +23,7 @@
 namespace appletally::control {
 
 struct DistributorLimits {
-    policy::Gate starts; // who may come when
+    policy::ReconnectGate starts; // who may come when
     size_t mostSubscribers = 1000;
     bool batching = true;
 };
--- a/src/appletally/control/duties.cpp
+++ b/src/appletally/control/duties.cpp
@@ -157,7 +157,7 @@
         return;
     const consensus::Replica& replica = m_replica->replica();
     const base::Time now = base::steadyNow();
-    const auto lost = policy::nextLost(m_lostVoters, consensus::latestMembers(replica), consensus::respondingVoters(replica, now), consensus::hasStandby(replica, now), now);
+    const auto lost = policy::nextLostVoter(m_lostVoters, consensus::latestMembers(replica), consensus::respondingVoters(replica, now), consensus::hasStandby(replica, now), now);
     if (!lost)
         return;
     base::logEvent(base::Event::ReplicaRemoved, "replica " + std::to_string(lost->value) + " was silent for " + std::to_string((now - m_lostVoters.silentSince.at(*lost)).ms) + " ms and is taken out");
@@ -190,7 +190,7 @@
     for (const config::Keeper& it : agreed.previous) {
         auto node = m_convergence.nodes.find(it.host);
         if (node != m_convergence.nodes.end() && node->second.version >= m_keeperChangeIn)
-            m_keeperChange.inForceSince.try_emplace(it.host, now);
+            m_keeperChange.appliedSince.try_emplace(it.host, now);
     }
     if (policy::mayEndChange(m_keeperChange, claimLife, now))
         proposeOwn(config::FinishKeeperChange { agreed.number, {} });
--- a/src/appletally/control/peer_link.cpp
+++ b/src/appletally/control/peer_link.cpp
@@ -66,7 +66,7 @@
     return recorded().then([this](const RecordedAnswer& answer) {
         m_replica = answer.replica;
         m_ready = true;
-        policy::succeeded(m_backoff);
+        policy::resetBackoff(m_backoff);
         m_connects = 0;
         base::logEvent(base::Event::LinkUp, m_peer.host.text + " at " + m_peer.address.text());
         m_pending = m_hooks.ownReports();
--- a/src/appletally/control/process.cpp
+++ b/src/appletally/control/process.cpp
@@ -20,9 +20,9 @@
     // A voter that is behind catches up within a heartbeat or two; longer means that it has lost the others.
     constexpr base::Duration releaseLimit { 1000 };
 
-    policy::Gate startsGate(const ControlSettings& settings)
+    policy::ReconnectGate startsGate(const ControlSettings& settings)
     {
-        policy::Gate out;
+        policy::ReconnectGate out;
         out.perSecond = settings.startsPerSecond;
         out.burst = settings.startsAtOnce;
         return out;
--- a/src/appletally/control/rollout_runner.cpp
+++ b/src/appletally/control/rollout_runner.cpp
@@ -29,17 +29,17 @@
     }
 }
 
-static std::optional<config::Command> toCommand(const config::Rollout& plan, const policy::RolloutStep& step)
+static std::optional<config::Command> toCommand(const config::Rollout& plan, const policy::RolloutDecision& step)
 {
     switch (step.action) {
     case policy::RolloutAction::Keep:
         return std::nullopt;
     case policy::RolloutAction::Raise:
-        return config::SetShare { plan.id, plan.share, step.share, step.why, {} };
-    case policy::RolloutAction::TakeBack:
-        return config::TakeBack { plan.id, plan.share, step.why, {} };
+        return config::SetShare { plan.id, plan.share, step.share, step.reason, {} };
+    case policy::RolloutAction::RollBack:
+        return config::TakeBack { plan.id, plan.share, step.reason, {} };
     case policy::RolloutAction::Complete:
-        return config::CompleteRollout { plan.id, plan.share, step.why, {} };
+        return config::CompleteRollout { plan.id, plan.share, step.reason, {} };
     }
     return std::nullopt;
 }
@@ -57,7 +57,7 @@
         auto plan = state.snapshot.rollouts.find(id);
         if (plan == state.snapshot.rollouts.end())
             continue;
-        if (auto command = toCommand(plan->second, policy::stepRollout(rollout, plan->second, upstreamsOf(plan->second, endpoints), now, true)))
+        if (auto command = toCommand(plan->second, policy::decideRollout(rollout, plan->second, upstreamsOf(plan->second, endpoints), now, true)))
             out.push_back(std::move(*command));
     }
     // Callers of a bad version wait for nothing else.
--- a/src/appletally/inner/source_client.cpp
+++ b/src/appletally/inner/source_client.cpp
@@ -60,7 +60,7 @@
     kj::Promise<void> leave(LeaveContext context) override
     {
         refuseOld();
-        m_client.m_refusal = policy::SourceRefusal { base::Duration { context.getParams().getComeBackMs() }, true };
+        m_client.m_refusal = policy::SourceRejection { base::Duration { context.getParams().getComeBackMs() }, true };
         m_client.m_refused->fulfill(base::fail(base::Code::SourceIsolated, "the source has lost the other control processes"));
         return kj::READY_NOW;
     }
@@ -139,11 +139,11 @@
     if (m_connected.get() != nullptr)
         return kj::READY_NOW;
     const base::Time now = base::steadyNow();
-    if (const auto source = policy::nextTry(m_race, now, randomNumber()))
+    if (const auto source = policy::startNextAttempt(m_race, now, randomNumber()))
         m_tries->add(attempt(*source));
     auto wake = kj::newPromiseAndFulfiller<void>();
     m_wake = kj::mv(wake.fulfiller);
-    const base::Duration wait = std::max(base::Duration { 1 }, policy::nextLook(m_race, now) - now);
+    const base::Duration wait = std::max(base::Duration { 1 }, policy::nextAttemptAt(m_race, now) - now);
     return wake.promise.exclusiveJoin(m_timer.afterDelay(wait.ms * kj::MILLISECONDS)).then([this] { return race(); });
 }
 
@@ -166,10 +166,10 @@
         m_wake->fulfill();
 }
 
-void SourceClient::sourceFailed(size_t source, std::optional<policy::SourceRefusal> told)
+void SourceClient::sourceFailed(size_t source, std::optional<policy::SourceRejection> told)
 {
     m_race.sources[source].backoff.urgent = !m_applied.inForce;
-    policy::tryFailed(m_race, source, told, base::steadyNow(), randomNumber());
+    policy::onAttemptFailed(m_race, source, told, base::steadyNow(), randomNumber());
     if (++m_failures >= failuresUntilLost)
         setReachable(false);
 }
@@ -189,7 +189,7 @@
     auto ask = m_link->session.castAs<rpc::Source>().subscribeRequest();
     ask.setHave(heldVersion(m_applied).value);
     write(ask.initCursor(), m_mirror.cursor);
-    ask.setPromised(m_race.sources[m_current].promised);
+    ask.setPromised(m_race.sources[m_current].hasReservation);
     ask.setFeed(kj::heap<FeedServer>(*this, m_generation));
     return ask.send().then([this](auto&& answer) -> kj::Promise<void> {
         if (failed(answer.getFailure())) {
@@ -197,7 +197,7 @@
             const bool isolated = problem.code == base::Code::SourceIsolated;
             if (isolated || problem.code == base::Code::ComeBackLater) {
                 ++m_counters.cameBackLater;
-                m_refusal = policy::SourceRefusal { problem.retryAfter, isolated };
+                m_refusal = policy::SourceRejection { problem.retryAfter, isolated };
             }
             return KJ_EXCEPTION(OVERLOADED, "refused by the source", problem.text);
         }
@@ -206,7 +206,7 @@
         base::logEvent(base::Event::SourceTaken, m_link->address.text());
         m_linkedSince = base::steadyNow();
         m_failures = 0;
-        policy::succeeded(m_race.sources[m_current].backoff);
+        policy::resetBackoff(m_race.sources[m_current].backoff);
         setReachable(true);
         m_endpointsDirty = !m_endpoints.empty();
         m_inForceDirty = m_inForce.has_value();
--- a/src/appletally/inner/source_client.h
+++ b/src/appletally/inner/source_client.h
@@ -79,7 +79,7 @@
     kj::Promise<void> race(); // until m_connected is set
     kj::Promise<void> attempt(size_t source);
     void wakeRace();
-    void sourceFailed(size_t source, std::optional<policy::SourceRefusal> told);
+    void sourceFailed(size_t source, std::optional<policy::SourceRejection> told);
     kj::Promise<base::Error> use();
     kj::Promise<void> subscribe();
     kj::Promise<void> proveBoot();
@@ -107,7 +107,7 @@
     size_t m_current = 0; // of m_sources, in use
     uint64_t m_failures = 0; // in a row, over all sources
     bool m_reachable = false;
-    std::optional<policy::SourceRefusal> m_refusal; // of the current source
+    std::optional<policy::SourceRejection> m_refusal; // of the current source
 
     config::Applied m_applied; // what is held and what is in force; never falls, whatever sources say
 
--- a/src/appletally/node/call.h
+++ b/src/appletally/node/call.h
@@ -10,7 +10,7 @@
 #include "appletally/config/model.h"
 #include "appletally/http/upstream_client.h"
 #include "appletally/policy/load.h"
-#include "appletally/policy/local_verdict.h"
+#include "appletally/policy/local_version_monitor.h"
 
 #include <functional>
 #include <optional>
--- a/src/appletally/node/claim_codec.cpp
+++ b/src/appletally/node/claim_codec.cpp
@@ -67,7 +67,7 @@
     return out;
 }
 
-static void write(wire::ClaimMessage::Builder out, const policy::ClaimAsk& in)
+static void write(wire::ClaimMessage::Builder out, const policy::ClaimRequest& in)
 {
     auto it = out.initAsk();
     it.setNumber(in.number.value);
@@ -94,7 +94,7 @@
     it.setAttempt(in.attempt.value);
 }
 
-static void write(wire::ClaimMessage::Builder out, const policy::ClaimNoted& in)
+static void write(wire::ClaimMessage::Builder out, const policy::ClaimAck& in)
 {
     auto it = out.initNoted();
     write(it.initKey(), in.key);
@@ -120,7 +120,7 @@
         write(it.initOutcome(), *in.outcome);
 }
 
-static void write(wire::ClaimMessage::Builder out, const policy::CatchUpAsk& in)
+static void write(wire::ClaimMessage::Builder out, const policy::CatchUpRequest& in)
 {
     auto it = out.initCatchUpAsk();
     it.setHost(in.host.text);
@@ -138,14 +138,14 @@
     auto it = out.initCatchUpAnswer();
     it.setHost(in.host.text);
     it.setIncarnation(in.incarnation.value);
-    it.setAsker(in.asker.value);
+    it.setAsker(in.requester.value);
     it.setCatchingUp(in.catchingUp);
     if (in.after)
         write(it.initAfter(), *in.after);
     it.setLast(in.last);
     auto claims = it.initClaims(in.claims.size());
     for (unsigned n = 0; n < in.claims.size(); ++n) {
-        const policy::CaughtClaim& claim = in.claims[n];
+        const policy::CatchUpClaim& claim = in.claims[n];
         write(claims[n].initKey(), claim.key);
         claims[n].setDigest(claim.digest);
         auto holders = claims[n].initHolders(claim.holders.size());
@@ -177,9 +177,9 @@
     return out;
 }
 
-static policy::CatchUpAsk read(wire::CatchUpAsk::Reader in)
+static policy::CatchUpRequest read(wire::CatchUpAsk::Reader in)
 {
-    policy::CatchUpAsk out;
+    policy::CatchUpRequest out;
     out.host = { asText(in.getHost()) };
     out.incarnation = { in.getIncarnation() };
     out.set.number = { in.getSet().getNumber() };
@@ -195,13 +195,13 @@
     policy::CatchUpAnswer out;
     out.host = { asText(in.getHost()) };
     out.incarnation = { in.getIncarnation() };
-    out.asker = { in.getAsker() };
+    out.requester = { in.getAsker() };
     out.catchingUp = in.getCatchingUp();
     if (in.hasAfter())
         out.after = read(in.getAfter());
     out.last = in.getLast();
     for (const auto it : in.getClaims()) {
-        policy::CaughtClaim claim;
+        policy::CatchUpClaim claim;
         claim.key = read(it.getKey());
         claim.digest = it.getDigest();
         for (const auto holder : it.getHolders())
@@ -230,7 +230,7 @@
     switch (in.which()) {
     case wire::ClaimMessage::ASK: {
         const auto it = in.getAsk();
-        return policy::ClaimAsk { { it.getNumber() }, read(it.getKey()), it.getDigest(), { it.getAttempt() }, { it.getRunWithinMs() } };
+        return policy::ClaimRequest { { it.getNumber() }, read(it.getKey()), it.getDigest(), { it.getAttempt() }, { it.getRunWithinMs() } };
     }
     case wire::ClaimMessage::FINISH: {
         const auto it = in.getFinish();
@@ -241,13 +241,13 @@
     case wire::ClaimMessage::ANSWER:
         return read(in.getAnswer());
     case wire::ClaimMessage::NOTED:
-        return policy::ClaimNoted { read(in.getNoted().getKey()), { in.getNoted().getAttempt() } };
+        return policy::ClaimAck { read(in.getNoted().getKey()), { in.getNoted().getAttempt() } };
     case wire::ClaimMessage::CATCH_UP_ASK:
         return read(in.getCatchUpAsk());
     case wire::ClaimMessage::CATCH_UP_ANSWER:
         return read(in.getCatchUpAnswer());
     }
-    return policy::ClaimNoted {};
+    return policy::ClaimAck {};
 }
 
 base::Result<ClaimMessage> decodeClaim(const std::string& bytes)
--- a/src/appletally/node/claim_codec.h
+++ b/src/appletally/node/claim_codec.h
@@ -9,8 +9,8 @@
 
 namespace appletally::node {
 
-using ClaimMessage = std::variant<policy::ClaimAsk, policy::ClaimFinish, policy::ClaimRelease, policy::ClaimAnswer, policy::ClaimNoted,
-    policy::CatchUpAsk, policy::CatchUpAnswer>;
+using ClaimMessage = std::variant<policy::ClaimRequest, policy::ClaimFinish, policy::ClaimRelease, policy::ClaimAnswer, policy::ClaimAck,
+    policy::CatchUpRequest, policy::CatchUpAnswer>;
 
 std::string encodeClaim(const ClaimMessage&);
 base::Result<ClaimMessage> decodeClaim(const std::string& bytes); // MessageMalformed
--- a/src/appletally/node/claims.cpp
+++ b/src/appletally/node/claims.cpp
@@ -95,8 +95,8 @@
     auto it = m_rounds.find(id);
     if (it == m_rounds.end())
         return;
-    const auto sends = policy::roundSends(it->second->round, base::steadyNow(), inner::randomNumber());
-    for (const policy::ClaimSend& send : sends)
+    const auto sends = policy::messagesToSend(it->second->round, base::steadyNow(), inner::randomNumber());
+    for (const policy::OutgoingClaimMessage& send : sends)
         std::visit([&](const auto& message) { deliver(id, send.to, message); }, send.message);
 }
 
@@ -121,8 +121,8 @@
         return;
     if (const auto* answer = std::get_if<policy::ClaimAnswer>(&message.value()))
         policy::onClaimAnswer(it->second->round, from, *answer, base::steadyNow());
-    else if (const auto* noted = std::get_if<policy::ClaimNoted>(&message.value()))
-        policy::onClaimNoted(it->second->round, from, *noted);
+    else if (const auto* noted = std::get_if<policy::ClaimAck>(&message.value()))
+        policy::onClaimAck(it->second->round, from, *noted);
     // The answer may come from within pump(); what follows from it waits for the loop.
     event_active(m_tick, 0, 0);
 }
@@ -133,14 +133,14 @@
     if (!message)
         return {};
     const base::Time now = base::steadyNow();
-    if (const auto* ask = std::get_if<policy::ClaimAsk>(&message.value()))
-        return encodeClaim(policy::onAsk(m_keeper, *ask, now));
+    if (const auto* ask = std::get_if<policy::ClaimRequest>(&message.value()))
+        return encodeClaim(policy::onClaimRequest(m_keeper, *ask, now));
     if (const auto* finish = std::get_if<policy::ClaimFinish>(&message.value()))
-        return encodeClaim(policy::onFinish(m_keeper, *finish, now));
+        return encodeClaim(policy::onClaimFinish(m_keeper, *finish, now));
     if (const auto* release = std::get_if<policy::ClaimRelease>(&message.value()))
-        return encodeClaim(policy::onRelease(m_keeper, *release, now));
-    if (const auto* ask = std::get_if<policy::CatchUpAsk>(&message.value()))
-        return encodeClaim(policy::onCatchUpAsk(m_keeper, *ask, now));
+        return encodeClaim(policy::onClaimRelease(m_keeper, *release, now));
+    if (const auto* ask = std::get_if<policy::CatchUpRequest>(&message.value()))
+        return encodeClaim(policy::onCatchUpRequest(m_keeper, *ask, now));
     return {};
 }
 
@@ -176,7 +176,7 @@
 
 void Claims::catchUp()
 {
-    for (const auto& [host, ask] : policy::catchUpAsks(m_keeper)) {
+    for (const auto& [host, ask] : policy::catchUpRequests(m_keeper)) {
         const base::Address* address = addressOf(host);
         if (!address)
             continue;
--- a/src/appletally/node/ingress.h
+++ b/src/appletally/node/ingress.h
@@ -18,7 +18,7 @@
 #include "appletally/policy/retry.h"
 #include "appletally/policy/routing.h"
 #include "appletally/policy/split.h"
-#include "appletally/policy/version_view.h"
+#include "appletally/policy/version_stats.h"
 
 #include <map>
 #include <memory>
@@ -138,7 +138,7 @@
     std::map<base::ServiceName, policy::RetryBudget> m_retries;
     std::map<base::ServiceName, policy::HedgeBudget> m_hedges;
     std::map<base::RouteName, policy::SlowAnswer> m_slowAnswers;
-    std::map<std::pair<base::RouteName, base::UpstreamVersion>, policy::VersionView> m_views;
+    std::map<std::pair<base::RouteName, base::UpstreamVersion>, policy::VersionStats> m_views;
     std::map<base::RouteName, policy::SplitTurns> m_splitTurns;
     std::map<base::RouteName, base::Duration> m_longestAsked; // by callers, of routes in force
     policy::Collapse m_collapse;
--- a/src/appletally/node/ingress_request.cpp
+++ b/src/appletally/node/ingress_request.cpp
@@ -242,7 +242,7 @@
         const auto fresh = m_views.find({ it.route->name, rollout.to });
         if (old == m_views.end())
             return std::nullopt;
-        return policy::baselineOf(old->second, fresh == m_views.end() ? policy::VersionView {} : fresh->second);
+        return policy::baselineOf(old->second, fresh == m_views.end() ? policy::VersionStats {} : fresh->second);
     }
     return std::nullopt;
 }
--- a/src/appletally/node/owner.h
+++ b/src/appletally/node/owner.h
@@ -14,7 +14,7 @@
 #include "appletally/node/claims.h"
 #include "appletally/node/dialect.h"
 #include "appletally/policy/admission.h"
-#include "appletally/policy/local_verdict.h"
+#include "appletally/policy/local_version_monitor.h"
 
 #include <event2/event.h>
 #include <map>
@@ -108,7 +108,7 @@
     void logEnd(const Running&, const std::optional<base::Error>&) const;
     void logCancelled(const Running&) const;
     void record(const Running&, policy::RunEnd);
-    policy::LocalVerdict* verdict(); // on the upstream's version; none without an upstream
+    policy::LocalVersionMonitor* verdict(); // on the upstream's version; none without an upstream
     void loseUpstream(const std::string& why);
     void refuseWaiting(const base::Error&); // whatever has not begun at the upstream
     http::UpstreamRequest requestFor(Running&, base::Duration left) const;
@@ -127,7 +127,7 @@
     std::unique_ptr<http::UpstreamClient> m_client;
     policy::Admission m_admission;
     std::map<OwnerCallId, std::unique_ptr<Running>> m_calls;
-    std::map<base::UpstreamVersion, policy::LocalVerdict> m_verdicts; // of each version that stood here
+    std::map<base::UpstreamVersion, policy::LocalVersionMonitor> m_verdicts; // of each version that stood here
     std::map<std::pair<base::RouteName, base::UpstreamVersion>, uint64_t> m_reported; // answers at the last report
     base::LatencyHistogram m_runTime;
     OwnerCounts m_counts;
--- a/src/appletally/policy/claim_keeper.cpp
+++ b/src/appletally/policy/claim_keeper.cpp
@@ -67,7 +67,7 @@
         if (claim.outcome)
             return;
         ClaimOutcome kept = outcome;
-        const bool tooLong = bytesOf(kept) > keeper.settings.mostBody.count;
+        const bool tooLong = bytesOf(kept) > keeper.settings.maxOutcomeBytes.count;
         if (tooLong || keeper.outcomeBytes + bytesOf(kept) > keeper.settings.outcomeMemory.count) {
             kept.headers.clear();
             kept.body.clear();
@@ -107,9 +107,9 @@
             keeper.caughtUp = true;
     }
 
-    std::vector<KeeperSeen> seenOf(const ClaimKeeper& keeper, const ClaimKey& key)
+    std::vector<SeenKeeper> seenOf(const ClaimKeeper& keeper, const ClaimKey& key)
     {
-        std::vector<KeeperSeen> out;
+        std::vector<SeenKeeper> out;
         for (const base::HostId& host : keepersOf(keeper.set, key).all()) {
             const auto it = keeper.seen.find(host);
             if (it != keeper.seen.end())
@@ -129,7 +129,7 @@
         return std::none_of(claim.holders.begin(), claim.holders.end(), [&](const ClaimHolder& it) { return it.digest == digest; });
     }
 
-    void answerFromClaim(const ClaimKeeper& keeper, const Claim& claim, const ClaimAsk& ask, base::Time now, ClaimAnswer& out)
+    void answerFromClaim(const ClaimKeeper& keeper, const Claim& claim, const ClaimRequest& ask, base::Time now, ClaimAnswer& out)
     {
         if (claim.outcome) {
             const bool same = claim.digest == ask.digest;
@@ -148,7 +148,7 @@
         out.overdue = now >= claim.overdueAt;
     }
 
-    bool heldOnlyBy(const Claim& claim, const ClaimAsk& ask)
+    bool heldOnlyBy(const Claim& claim, const ClaimRequest& ask)
     {
         return !claim.outcome && claim.holders.size() == 1 && claim.holders.front().attempt == ask.attempt;
     }
@@ -158,7 +158,7 @@
         return keeper.claimBytes + bytesOf(key) <= keeper.settings.claimMemory.count;
     }
 
-    void grant(ClaimKeeper& keeper, const ClaimAsk& ask, base::Time now)
+    void grant(ClaimKeeper& keeper, const ClaimRequest& ask, base::Time now)
     {
         Claim& claim = addClaim(keeper, ask.key);
         claim.holders = { { ask.attempt, ask.digest } };
@@ -205,7 +205,7 @@
         keeper.set = set;
 }
 
-ClaimAnswer onAsk(ClaimKeeper& keeper, const ClaimAsk& ask, base::Time now)
+ClaimAnswer onClaimRequest(ClaimKeeper& keeper, const ClaimRequest& ask, base::Time now)
 {
     expireClaims(keeper, now);
     ClaimAnswer out;
@@ -246,7 +246,7 @@
     return out;
 }
 
-ClaimNoted onFinish(ClaimKeeper& keeper, const ClaimFinish& finish, base::Time now)
+ClaimAck onClaimFinish(ClaimKeeper& keeper, const ClaimFinish& finish, base::Time now)
 {
     expireClaims(keeper, now);
     auto found = keeper.claims.find(finish.key);
@@ -260,7 +260,7 @@
     return { finish.key, finish.attempt };
 }
 
-ClaimNoted onRelease(ClaimKeeper& keeper, const ClaimRelease& release, base::Time now)
+ClaimAck onClaimRelease(ClaimKeeper& keeper, const ClaimRelease& release, base::Time now)
 {
     expireClaims(keeper, now);
     if (keeper.released.size() < mostReleased && keeper.released.insert({ release.key, release.attempt }).second)
@@ -274,25 +274,25 @@
     return { release.key, release.attempt };
 }
 
-std::vector<std::pair<base::HostId, CatchUpAsk>> catchUpAsks(const ClaimKeeper& keeper)
+std::vector<std::pair<base::HostId, CatchUpRequest>> catchUpRequests(const ClaimKeeper& keeper)
 {
-    std::vector<std::pair<base::HostId, CatchUpAsk>> out;
+    std::vector<std::pair<base::HostId, CatchUpRequest>> out;
     if (keeper.caughtUp)
         return out;
     for (const auto& [host, peer] : keeper.peers) {
         if (!peer.done)
-            out.emplace_back(host, CatchUpAsk { keeper.self, keeper.incarnation, keeper.bootSet, peer.after });
+            out.emplace_back(host, CatchUpRequest { keeper.self, keeper.incarnation, keeper.bootSet, peer.after });
     }
     return out;
 }
 
-CatchUpAnswer onCatchUpAsk(ClaimKeeper& keeper, const CatchUpAsk& ask, base::Time now)
+CatchUpAnswer onCatchUpRequest(ClaimKeeper& keeper, const CatchUpRequest& ask, base::Time now)
 {
     expireClaims(keeper, now);
     CatchUpAnswer out;
     out.host = keeper.self;
     out.incarnation = keeper.incarnation;
-    out.asker = ask.incarnation;
+    out.requester = ask.incarnation;
     out.after = ask.after;
     // From here on this keeper's grants say that the asker restarted, so that its older grants no longer count. That
     // covers a claim granted here after this page was cut.
@@ -314,7 +314,7 @@
 
 namespace {
 
-    void mergeClaim(ClaimKeeper& keeper, const CaughtClaim& caught, base::Time now)
+    void mergeClaim(ClaimKeeper& keeper, const CatchUpClaim& caught, base::Time now)
     {
         std::vector<ClaimHolder> holders;
         for (const ClaimHolder& it : caught.holders) {
@@ -346,7 +346,7 @@
 {
     noteSeen(keeper, answer.host, answer.incarnation);
     const auto found = keeper.peers.find(answer.host);
-    if (keeper.caughtUp || found == keeper.peers.end() || answer.asker != keeper.incarnation || answer.catchingUp)
+    if (keeper.caughtUp || found == keeper.peers.end() || answer.requester != keeper.incarnation || answer.catchingUp)
         return;
     CatchUpPeer& peer = found->second;
     if (peer.done)
@@ -357,7 +357,7 @@
     }
     if (answer.after != peer.after)
         return; // doubled or of an earlier incarnation's pages
-    for (const CaughtClaim& it : answer.claims)
+    for (const CatchUpClaim& it : answer.claims)
         mergeClaim(keeper, it, now);
     if (!answer.claims.empty())
         peer.after = answer.claims.back().key;
--- a/src/appletally/policy/claim_keeper.h
+++ b/src/appletally/policy/claim_keeper.h
@@ -37,7 +37,7 @@
     base::Bytes claimMemory { 8 * 1024 * 1024 };
     base::Bytes outcomeMemory { 8 * 1024 * 1024 };
     // Longer bodies are not kept: a resend then learns that it ran and with which status. Answers of commands are short.
-    base::Bytes mostBody { 4096 };
+    base::Bytes maxOutcomeBytes { 4096 };
     // Claims in one catch-up message: with the longest bodies about 270 KB, a few milliseconds of a link.
     size_t catchUpBatch = 64;
 };
@@ -56,7 +56,7 @@
 };
 
 // From an owner's node to a keeper. May be lost, doubled, late or crossed.
-struct ClaimAsk {
+struct ClaimRequest {
     base::KeeperSetNumber number; // of the asker's keeper set
     ClaimKey key;
     uint64_t digest = 0; // of method, path and body: the same key with another request is refused
@@ -88,7 +88,7 @@
 };
 
 // What a keeper has seen of another keeper's restarts.
-struct KeeperSeen {
+struct SeenKeeper {
     base::HostId host;
     base::Incarnation incarnation;
 };
@@ -99,18 +99,18 @@
     ClaimReply reply = ClaimReply::CatchingUp;
     base::KeeperSetNumber number; // this keeper's set
     base::Incarnation incarnation; // of this keeper
-    std::vector<KeeperSeen> seen; // of the key's other keepers; with Granted and AlreadyGranted
+    std::vector<SeenKeeper> seen; // of the key's other keepers; with Granted and AlreadyGranted
     base::AttemptId holder; // with Held
     bool overdue = false; // with Held: past its time, so its outcome is probably lost
     std::optional<ClaimOutcome> outcome; // with Finished
 };
-struct ClaimNoted { // a keeper's answer to ClaimFinish and ClaimRelease
+struct ClaimAck { // a keeper's answer to ClaimFinish and ClaimRelease
     ClaimKey key;
     base::AttemptId attempt;
 };
 
 // A restarted keeper asks every other keeper of its set, page by page.
-struct CatchUpAsk {
+struct CatchUpRequest {
     base::HostId host; // who asks
     base::Incarnation incarnation;
     config::KeeperSet set; // with which the asker came up
@@ -120,7 +120,7 @@
     base::AttemptId attempt;
     uint64_t digest = 0;
 };
-struct CaughtClaim {
+struct CatchUpClaim {
     ClaimKey key;
     std::vector<ClaimHolder> holders;
     uint64_t digest = 0; // of the request that gave `outcome`
@@ -131,10 +131,10 @@
 struct CatchUpAnswer {
     base::HostId host; // who answers
     base::Incarnation incarnation; // of who answers
-    base::Incarnation asker; // repeated from the ask
+    base::Incarnation requester; // repeated from the ask
     bool catchingUp = false; // restarted itself and of no help: ask again later
     std::optional<ClaimKey> after; // repeated from the ask
-    std::vector<CaughtClaim> claims;
+    std::vector<CatchUpClaim> claims;
     bool last = false;
 };
 
@@ -183,13 +183,13 @@
 // that none was ever agreed, and then nothing can have been forgotten. Lower numbers than before are ignored.
 void applyKeeperSet(ClaimKeeper&, const config::KeeperSet&, base::Time now);
 
-ClaimAnswer onAsk(ClaimKeeper&, const ClaimAsk&, base::Time now);
-ClaimNoted onFinish(ClaimKeeper&, const ClaimFinish&, base::Time now);
-ClaimNoted onRelease(ClaimKeeper&, const ClaimRelease&, base::Time now);
+ClaimAnswer onClaimRequest(ClaimKeeper&, const ClaimRequest&, base::Time now);
+ClaimAck onClaimFinish(ClaimKeeper&, const ClaimFinish&, base::Time now);
+ClaimAck onClaimRelease(ClaimKeeper&, const ClaimRelease&, base::Time now);
 
 // Catching up. catchUpAsks() gives what to send now; call it every 50 ms or so until caughtUp, lost messages need it.
-std::vector<std::pair<base::HostId, CatchUpAsk>> catchUpAsks(const ClaimKeeper&);
-CatchUpAnswer onCatchUpAsk(ClaimKeeper&, const CatchUpAsk&, base::Time now);
+std::vector<std::pair<base::HostId, CatchUpRequest>> catchUpRequests(const ClaimKeeper&);
+CatchUpAnswer onCatchUpRequest(ClaimKeeper&, const CatchUpRequest&, base::Time now);
 void onCatchUpAnswer(ClaimKeeper&, const CatchUpAnswer&, base::Time now);
 
 // Forgets what is past its time. onAsk() and the others do it too; call it every second where little comes in.
--- a/src/appletally/policy/claim_round.cpp
+++ b/src/appletally/policy/claim_round.cpp
@@ -16,7 +16,7 @@
         for (const auto& [other, asked] : round.asked) {
             if (!asked.answer || !isGrant(asked.answer->reply))
                 continue;
-            for (const KeeperSeen& it : asked.answer->seen) {
+            for (const SeenKeeper& it : asked.answer->seen) {
                 if (it.host == host && it.incarnation > grant.incarnation)
                     return true;
             }
@@ -78,11 +78,11 @@
         return std::any_of(groups.begin(), groups.end(), condition);
     }
 
-    void decide(ClaimRound& round, ClaimDecision decision, base::Code code, std::string why, base::Time now)
+    void decide(ClaimRound& round, ClaimDecision decision, base::Code code, std::string reason, base::Time now)
     {
         round.decision = decision;
         round.code = code;
-        round.why = std::move(why);
+        round.reason = std::move(reason);
         round.endedAt = now;
     }
 
@@ -181,12 +181,12 @@
         asked.pause = asked.pause * 2;
     }
 
-    void sendAsks(ClaimRound& round, base::Time now, uint64_t random, std::vector<ClaimSend>& out)
+    void sendAsks(ClaimRound& round, base::Time now, uint64_t random, std::vector<OutgoingClaimMessage>& out)
     {
         for (auto& [host, asked] : round.asked) {
             if (asked.askAgainAt > now || !(mayChange(round, asked) || isStaleGrant(round, host, asked)))
                 continue;
-            out.push_back({ host, ClaimAsk { round.number, round.key, round.digest, round.attempt, round.runWithin } });
+            out.push_back({ host, ClaimRequest { round.number, round.key, round.digest, round.attempt, round.runWithin } });
             planNextAsk(round, asked, now, random);
         }
     }
@@ -205,7 +205,7 @@
         return std::nullopt;
     }
 
-    void sendEnding(ClaimRound& round, const ClaimMessage& ending, base::Time now, std::vector<ClaimSend>& out)
+    void sendEnding(ClaimRound& round, const ClaimMessage& ending, base::Time now, std::vector<OutgoingClaimMessage>& out)
     {
         if (now - round.endedAt >= round.settings.finishLimit)
             return;
@@ -248,9 +248,9 @@
     return round;
 }
 
-std::vector<ClaimSend> roundSends(ClaimRound& round, base::Time now, uint64_t random)
+std::vector<OutgoingClaimMessage> messagesToSend(ClaimRound& round, base::Time now, uint64_t random)
 {
-    std::vector<ClaimSend> out;
+    std::vector<OutgoingClaimMessage> out;
     if (round.decision == ClaimDecision::Pending)
         sendAsks(round, now, random, out);
     else if (const std::optional<ClaimMessage> ending = endingOf(round, now))
@@ -295,7 +295,7 @@
         beginEnding(round, now);
 }
 
-void onClaimNoted(ClaimRound& round, const base::HostId& from, const ClaimNoted& noted)
+void onClaimAck(ClaimRound& round, const base::HostId& from, const ClaimAck& noted)
 {
     const auto found = round.asked.find(from);
     if (found != round.asked.end() && noted.key == round.key && noted.attempt == round.attempt && endingOf(round, {}))
--- a/src/appletally/policy/claim_round.h
+++ b/src/appletally/policy/claim_round.h
@@ -54,8 +54,8 @@
     Unknown, // cut, timed out, connection lost: the claim stays, and resends are told "outcome unknown"
 };
 
-using ClaimMessage = std::variant<ClaimAsk, ClaimFinish, ClaimRelease>;
-struct ClaimSend {
+using ClaimMessage = std::variant<ClaimRequest, ClaimFinish, ClaimRelease>;
+struct OutgoingClaimMessage {
     base::HostId to;
     ClaimMessage message;
 };
@@ -84,7 +84,7 @@
     // Result. Invariant: once not Pending, the decision never changes.
     ClaimDecision decision = ClaimDecision::Pending;
     base::Code code = base::Code::Ok; // with NotRun and OutcomeUnknown
-    std::string why; // for operators and the answer's text
+    std::string reason; // for operators and the answer's text
     std::optional<ClaimOutcome> outcome; // with AnswerRecorded, and of the run once it finished
     std::optional<ClaimEnd> end; // of a Run
     base::Time endedAt;
@@ -97,13 +97,13 @@
 
 // What to send now: asks, repeated asks, endings. Call after startRound(), after each on...() and at nextSendAt().
 // `random` spreads the pauses of racing attempts.
-std::vector<ClaimSend> roundSends(ClaimRound&, base::Time now, uint64_t random);
+std::vector<OutgoingClaimMessage> messagesToSend(ClaimRound&, base::Time now, uint64_t random);
 std::optional<base::Time> nextSendAt(const ClaimRound&); // none: nothing left to do, the round may be dropped
 
 // `now` has to be read after the message was taken from its socket: a process that was stopped in between would count
 // a grant that is older than the round's limit.
 void onClaimAnswer(ClaimRound&, const base::HostId& from, const ClaimAnswer&, base::Time now);
-void onClaimNoted(ClaimRound&, const base::HostId& from, const ClaimNoted&);
+void onClaimAck(ClaimRound&, const base::HostId& from, const ClaimAck&);
 void onRoundTick(ClaimRound&, base::Time now); // decides when time is up
 
 // How a Run ended. Only NotStarted releases the claim; Finished after `runWithin` counts as Unknown. Without a call the
--- a/src/appletally/policy/evidence_book.cpp
+++ b/src/appletally/policy/evidence_totals.cpp
@@ -1,5 +1,5 @@
 // Keeps the largest counters of each incarnation and sums over incarnations.
-#include "appletally/policy/evidence_book.h"
+#include "appletally/policy/evidence_totals.h"
 
 #include <algorithm>
 
@@ -58,7 +58,7 @@
     return out;
 }
 
-void mergeEvidence(EvidenceBook& book, const config::Evidence& it)
+void mergeEvidence(EvidenceTotals& book, const config::Evidence& it)
 {
     keepLargest(book.tallies[{ it.host, it.route, it.version }][it.incarnation], tallyOf(it));
     if (it.answers + it.coldAnswers > 0)
@@ -67,7 +67,7 @@
         book.stopped[it.version].insert(it.host);
 }
 
-Tally totalOf(const EvidenceBook& book, const EvidenceKey& key)
+Tally totalOf(const EvidenceTotals& book, const EvidenceKey& key)
 {
     Tally out;
     const auto found = book.tallies.find(key);
--- a/src/appletally/policy/evidence_book.h
+++ b/src/appletally/policy/evidence_totals.h
@@ -34,13 +34,13 @@
     auto operator<=>(const EvidenceKey&) const = default;
 };
 
-struct EvidenceBook {
+struct EvidenceTotals {
     std::map<EvidenceKey, std::map<base::Incarnation, Tally>> tallies;
     std::map<base::UpstreamVersion, std::set<base::HostId>> stopped; // hosts that stopped a version by themselves
     std::map<base::UpstreamVersion, std::set<base::HostId>> hosts; // hosts that answered anything with a version
 };
 
-void mergeEvidence(EvidenceBook&, const config::Evidence&);
-Tally totalOf(const EvidenceBook&, const EvidenceKey&);
+void mergeEvidence(EvidenceTotals&, const config::Evidence&);
+Tally totalOf(const EvidenceTotals&, const EvidenceKey&);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/keepers.cpp
+++ b/src/appletally/policy/keepers.cpp
@@ -69,8 +69,8 @@
 {
     size_t late = 0;
     for (const config::Keeper& it : change.set.previous) {
-        const auto found = change.inForceSince.find(it.host);
-        const bool settled = found != change.inForceSince.end() && now - found->second >= claimLife;
+        const auto found = change.appliedSince.find(it.host);
+        const bool settled = found != change.appliedSince.end() && now - found->second >= claimLife;
         late += settled ? 0 : 1;
     }
     // With one or two keepers per key, a single late host could still be a majority of what is left.
--- a/src/appletally/policy/keepers.h
+++ b/src/appletally/policy/keepers.h
@@ -58,7 +58,7 @@
 // know has run out. `claimLife`: see claim_keeper.h.
 struct SetChange {
     config::KeeperSet set; // the changing one: `previous` is not empty
-    std::map<base::HostId, base::Time> inForceSince; // first report of this or a later number, per host
+    std::map<base::HostId, base::Time> appliedSince; // first report of this or a later number, per host
 };
 bool mayEndChange(const SetChange&, base::Duration claimLife, base::Time now);
 
--- a/src/appletally/policy/local_verdict.cpp
+++ b/src/appletally/policy/local_version_monitor.cpp
@@ -1,5 +1,5 @@
 // Counts answers into evidence and runs the gross tests per route.
-#include "appletally/policy/local_verdict.h"
+#include "appletally/policy/local_version_monitor.h"
 #include "appletally/policy/latency_bins.h"
 
 #include <algorithm>
@@ -27,15 +27,15 @@
     constexpr double slowSlack = 0.3; // share of answers beyond that limit which may still be chance or a neighbour
     constexpr double slowBadness = 0.8;
 
-    bool isCold(const LocalVerdict& it, base::Time now)
+    bool isCold(const LocalVersionMonitor& it, base::Time now)
     {
         return it.answersSinceReady < warmUpAnswers && now - it.readyAt < warmUp && it.warmUps <= mostWarmUps;
     }
 
-    void stop(LocalVerdict& verdict, std::string why)
+    void stop(LocalVersionMonitor& verdict, std::string reason)
     {
         verdict.stopped = true;
-        verdict.why = std::move(why);
+        verdict.reason = std::move(reason);
     }
 
     void testFailures(LocalRoute& route, const LocalAnswer& answer)
@@ -66,7 +66,7 @@
     // and taken for one they take back a good one within a second.
     constexpr double othersFailToo = 0.25;
 
-    void countCold(LocalVerdict& verdict, config::Evidence& evidence, const LocalAnswer& answer)
+    void countCold(LocalVersionMonitor& verdict, config::Evidence& evidence, const LocalAnswer& answer)
     {
         const bool shared = answer.old && answer.old->failureRate >= othersFailToo;
         const bool failed = answer.failed && !shared;
@@ -76,7 +76,7 @@
         verdict.coldFailures += failed ? 1 : 0;
     }
 
-    LocalRoute& routeOf(LocalVerdict& verdict, const base::RouteName& name)
+    LocalRoute& routeOf(LocalVersionMonitor& verdict, const base::RouteName& name)
     {
         const auto [it, added] = verdict.routes.try_emplace(name);
         if (added) {
@@ -91,9 +91,9 @@
 
 } // namespace
 
-LocalVerdict startLocalVerdict(base::HostId host, base::Incarnation incarnation, base::ServiceName service, base::UpstreamVersion version, base::Time readyAt)
+LocalVersionMonitor startLocalVersionMonitor(base::HostId host, base::Incarnation incarnation, base::ServiceName service, base::UpstreamVersion version, base::Time readyAt)
 {
-    LocalVerdict out;
+    LocalVersionMonitor out;
     out.host = std::move(host);
     out.incarnation = incarnation;
     out.service = std::move(service);
@@ -102,44 +102,44 @@
     return out;
 }
 
-void onUpstreamReady(LocalVerdict& verdict, base::Time now)
+void onUpstreamReady(LocalVersionMonitor& verdict, base::Time now)
 {
     verdict.readyAt = now;
     verdict.answersSinceReady = 0;
     ++verdict.warmUps;
 }
 
-void onSnapshot(LocalVerdict& verdict, const config::Snapshot& snapshot)
+void onSnapshot(LocalVersionMonitor& verdict, const config::Snapshot& snapshot)
 {
     const auto found = std::find_if(snapshot.rollouts.begin(), snapshot.rollouts.end(), [&](const auto& it) {
         return it.second.service == verdict.service && it.second.to == verdict.version;
     });
-    verdict.judged = found != snapshot.rollouts.end();
-    if (verdict.judged) {
+    verdict.monitored = found != snapshot.rollouts.end();
+    if (verdict.monitored) {
         verdict.bad = found->second.bad;
         return;
     }
     verdict.stopped = false;
-    verdict.why.clear();
+    verdict.reason.clear();
     for (auto& [name, route] : verdict.routes) {
         route.failing = {};
         route.slow = {};
     }
 }
 
-void onLocalAnswer(LocalVerdict& verdict, const LocalAnswer& answer, base::Time now)
+void onLocalAnswer(LocalVersionMonitor& verdict, const LocalAnswer& answer, base::Time now)
 {
     LocalRoute& route = routeOf(verdict, answer.route);
     const bool cold = isCold(verdict, now);
     ++verdict.answersSinceReady;
     if (cold) {
         countCold(verdict, route.evidence, answer);
-        if (verdict.judged && verdict.coldFailures >= mostColdFailures && 4 * verdict.coldFailures > 3 * verdict.coldAnswers)
+        if (verdict.monitored && verdict.coldFailures >= mostColdFailures && 4 * verdict.coldFailures > 3 * verdict.coldAnswers)
             stop(verdict, "it fails while it starts and does not get warm");
         return;
     }
     countWarm(route.evidence, answer);
-    if (!verdict.judged || verdict.stopped)
+    if (!verdict.monitored || verdict.stopped)
         return;
     testFailures(route, answer);
     testLatency(route, answer, verdict.bad);
@@ -149,9 +149,9 @@
         stop(verdict, "it is far too slow on " + answer.route.text);
 }
 
-bool mayRun(const LocalVerdict& verdict) { return !verdict.stopped; }
+bool mayRun(const LocalVersionMonitor& verdict) { return !verdict.stopped; }
 
-std::vector<config::Evidence> reportOf(const LocalVerdict& verdict)
+std::vector<config::Evidence> evidenceReports(const LocalVersionMonitor& verdict)
 {
     std::vector<config::Evidence> out;
     out.reserve(verdict.routes.size());
--- a/src/appletally/policy/local_verdict.h
+++ b/src/appletally/policy/local_version_monitor.h
@@ -43,7 +43,7 @@
     SequentialTest slow;
 };
 
-struct LocalVerdict {
+struct LocalVersionMonitor {
     // The report's fixed part.
     base::HostId host;
     base::Incarnation incarnation; // of this node
@@ -59,27 +59,27 @@
     uint64_t coldAnswers = 0;
     uint64_t coldFailures = 0;
 
-    bool judged = false; // a rollout under way is moving traffic to this version
+    bool monitored = false; // a rollout under way is moving traffic to this version
     config::Badness bad; // of that rollout
     bool stopped = false;
-    std::string why; // with stopped; for operators
+    std::string reason; // with stopped; for operators
 };
 
-LocalVerdict startLocalVerdict(base::HostId, base::Incarnation, base::ServiceName, base::UpstreamVersion, base::Time readyAt);
+LocalVersionMonitor startLocalVersionMonitor(base::HostId, base::Incarnation, base::ServiceName, base::UpstreamVersion, base::Time readyAt);
 
 // The upstream process (re)started and is ready: it is cold for a while, within a bound.
-void onUpstreamReady(LocalVerdict&, base::Time now);
+void onUpstreamReady(LocalVersionMonitor&, base::Time now);
 
 // A snapshot came into force. Only the new version of a rollout under way is judged: stopping a service's only version
 // would turn a partial failure into a whole one.
-void onSnapshot(LocalVerdict&, const config::Snapshot&);
+void onSnapshot(LocalVersionMonitor&, const config::Snapshot&);
 
-void onLocalAnswer(LocalVerdict&, const LocalAnswer&, base::Time now);
+void onLocalAnswer(LocalVersionMonitor&, const LocalAnswer&, base::Time now);
 
 // False: refuse at once with Code::VersionTakenBack, before the upstream gets a byte.
-bool mayRun(const LocalVerdict&);
+bool mayRun(const LocalVersionMonitor&);
 
 // What to report; counters only grow. Send at most every config::Pace::report, and at once after a stop.
-std::vector<config::Evidence> reportOf(const LocalVerdict&);
+std::vector<config::Evidence> evidenceReports(const LocalVersionMonitor&);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/lost_voters.cpp
+++ b/src/appletally/policy/lost_voters.cpp
@@ -5,7 +5,7 @@
 
 namespace appletally::policy {
 
-std::optional<base::ReplicaId> nextLost(LostVoters& it, const consensus::Members& members, const std::set<base::ReplicaId>& responding, bool standby, base::Time now)
+std::optional<base::ReplicaId> nextLostVoter(LostVoters& it, const consensus::Members& members, const std::set<base::ReplicaId>& responding, bool standby, base::Time now)
 {
     std::map<base::ReplicaId, base::Time> silent;
     size_t voters = 0;
--- a/src/appletally/policy/lost_voters.h
+++ b/src/appletally/policy/lost_voters.h
@@ -32,6 +32,6 @@
 
 // `responding`: voters that answer the leader, itself among them. `standby`: a replica waits to become a voter and has
 // everything. Call at intervals; empty: nobody.
-std::optional<base::ReplicaId> nextLost(LostVoters&, const consensus::Members&, const std::set<base::ReplicaId>& responding, bool standby, base::Time now);
+std::optional<base::ReplicaId> nextLostVoter(LostVoters&, const consensus::Members&, const std::set<base::ReplicaId>& responding, bool standby, base::Time now);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/reconnect.cpp
+++ b/src/appletally/policy/reconnect.cpp
@@ -24,14 +24,14 @@
 
     constexpr double msPerSecond = 1000;
 
-    void refill(Gate& it, base::Time now)
+    void refill(ReconnectGate& it, base::Time now)
     {
         const auto passed = static_cast<double>((now - it.countedTo).ms);
         it.countedTo = std::max(it.countedTo, now);
         it.tokens = std::min<double>(it.burst, it.tokens + std::max(passed, 0.0) * it.perSecond / msPerSecond);
     }
 
-    base::Duration nextPlace(Gate& it, base::Time now, uint64_t random)
+    base::Duration nextPlace(ReconnectGate& it, base::Time now, uint64_t random)
     {
         const auto spacing = static_cast<int64_t>(msPerSecond / (it.perSecond * promisedShare)) + 1;
         it.promisedTo = std::max(it.promisedTo, now) + base::Duration { spacing };
@@ -54,12 +54,12 @@
     return { 1 + static_cast<int64_t>(random % static_cast<uint64_t>(most.ms)) };
 }
 
-void succeeded(Backoff& it) { it.failures = 0; }
+void resetBackoff(Backoff& it) { it.failures = 0; }
 
-Entry admit(Gate& it, bool promised, base::Time now, uint64_t random)
+ReconnectDecision admitReconnect(ReconnectGate& it, bool hasReservation, base::Time now, uint64_t random)
 {
     refill(it, now);
-    const bool othersFirst = !promised && it.promisedTo > now;
+    const bool othersFirst = !hasReservation && it.promisedTo > now;
     if (othersFirst || it.tokens < 1)
         return { false, nextPlace(it, now, random) };
     it.tokens -= 1;
--- a/src/appletally/policy/reconnect.h
+++ b/src/appletally/policy/reconnect.h
@@ -24,11 +24,11 @@
 
 // How long to wait before the next try, after a failure (nothing told) or a refusal that said "come back in N ms".
 base::Duration waitAfterFailure(Backoff&, std::optional<base::Duration> told, uint64_t random);
-void succeeded(Backoff&);
+void resetBackoff(Backoff&);
 
 // The source's side. Plain state, forgotten when the source restarts; its clients then come by their own back-off, or at
 // the places that they were given before, which still bind nobody to let them in.
-struct Gate {
+struct ReconnectGate {
     int perSecond = 50; // that the source can serve; at least 1
     int burst = 10; // that it can take at one moment; at least 1
     double tokens = 0; // invariant: at most `burst`, so in any time t at most burst + perSecond * t are let in
@@ -36,12 +36,12 @@
     base::Time promisedTo; // places are given out up to here
 };
 
-struct Entry {
-    bool letIn = false;
-    base::Duration comeBackIn {}; // if not let in: come then, with `promised`
+struct ReconnectDecision {
+    bool admitted = false;
+    base::Duration retryAfter {}; // if not let in: come then, with `promised`
 };
 
 // `promised`: the client was told to come now. `random` only matters beyond the horizon of places.
-Entry admit(Gate&, bool promised, base::Time now, uint64_t random);
+ReconnectDecision admitReconnect(ReconnectGate&, bool hasReservation, base::Time now, uint64_t random);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/rollout.cpp
+++ b/src/appletally/policy/rollout.cpp
@@ -40,17 +40,17 @@
         double badness = 0; // that is bad
     };
 
-    Limits limitsOf(BadnessKind kind, const config::Badness& bad)
+    Limits limitsOf(RegressionKind kind, const config::Badness& bad)
     {
         const double failures = static_cast<double>(bad.failures.value) / 1000;
         switch (kind) {
-        case BadnessKind::Failing:
+        case RegressionKind::Failing:
             return { failures / 5, failures };
-        case BadnessKind::Slow:
-        case BadnessKind::SlowUnderLoad: // twice as slow puts half of the answers beyond twice the median
+        case RegressionKind::Slow:
+        case RegressionKind::SlowUnderLoad: // twice as slow puts half of the answers beyond twice the median
             return { 0.12, 0.35 };
-        case BadnessKind::Stalling:
-        case BadnessKind::StallingUnderLoad:
+        case RegressionKind::Stalling:
+        case RegressionKind::StallingUnderLoad:
             return { 0.01, 0.06 };
         }
         return {};
@@ -63,7 +63,7 @@
         return out;
     }
 
-    constexpr std::array<Stream, badnessKinds> streamOfKind { Stream::All, Stream::Quiet, Stream::Busy, Stream::Quiet, Stream::Busy };
+    constexpr std::array<Stream, regressionKinds> streamOfKind { Stream::All, Stream::Quiet, Stream::Busy, Stream::Quiet, Stream::Busy };
 
     void decayInto(LatencyBins& bins, const std::array<uint64_t, config::latencyBins>& old)
     {
@@ -109,8 +109,8 @@
 
     // What a stretch of the old version asks of the new one, per kind.
     struct StretchBaseline {
-        std::array<double, badnessKinds> rates { -1, -1, -1, -1, -1 }; // expected share of hits; negative: not known
-        std::array<double, badnessKinds> limits {}; // milliseconds beyond which an answer is a hit
+        std::array<double, regressionKinds> rates { -1, -1, -1, -1, -1 }; // expected share of hits; negative: not known
+        std::array<double, regressionKinds> limits {}; // milliseconds beyond which an answer is a hit
     };
 
     void addLatency(StretchBaseline& out, size_t kind, RecentRate& recent, const LatencyBins& old, const LatencyBins& past, double factor)
@@ -148,13 +148,13 @@
     }
 
     // Fresh answers of one host against the old version's of the same stretch; zero for kinds without a baseline here.
-    std::array<Ratios, badnessKinds> compare(const Tally& fresh, const StretchBaseline& it, const config::Badness& bad)
+    std::array<Ratios, regressionKinds> compare(const Tally& fresh, const StretchBaseline& it, const config::Badness& bad)
     {
-        std::array<Ratios, badnessKinds> out {};
-        for (size_t kind = 0; kind < badnessKinds; ++kind) {
+        std::array<Ratios, regressionKinds> out {};
+        for (size_t kind = 0; kind < regressionKinds; ++kind) {
             if (it.rates[kind] < 0)
                 continue;
-            const Limits limits = limitsOf(static_cast<BadnessKind>(kind), bad);
+            const Limits limits = limitsOf(static_cast<RegressionKind>(kind), bad);
             const auto alternatives = alternativesFor(it.rates[kind], limits.slack, limits.badness);
             const LatencyBins bins = binsOf(streamOfKind.at(kind) == Stream::Busy ? fresh.busy : fresh.quiet);
             if (streamOfKind.at(kind) == Stream::All)
@@ -182,9 +182,9 @@
         return sum;
     }
 
-    void addTo(std::array<SequentialTest, badnessKinds>& tests, const std::array<Ratios, badnessKinds>& ratios)
+    void addTo(std::array<SequentialTest, regressionKinds>& tests, const std::array<Ratios, regressionKinds>& ratios)
     {
-        for (size_t kind = 0; kind < badnessKinds; ++kind)
+        for (size_t kind = 0; kind < regressionKinds; ++kind)
             addRatios(tests[kind], ratios[kind]);
     }
 
@@ -201,16 +201,16 @@
         decayInto(route.baseline, old, stream);
         const bool begun = past.answers > 0 || stream != Stream::All;
         const StretchBaseline expected = baselineOf(stream, route, old, begun ? past : route.baseline, plan.bad);
-        std::array<Ratios, badnessKinds> sum {};
+        std::array<Ratios, regressionKinds> sum {};
         for (const auto& [key, byIncarnation] : state.book.tallies) {
             if (key.route != name || key.version != plan.to)
                 continue;
             const Tally total = totalOf(state.book, key);
-            const std::array<Ratios, badnessKinds> ratios = compare(total - compared.fresh[key.host], expected, plan.bad);
+            const std::array<Ratios, regressionKinds> ratios = compare(total - compared.fresh[key.host], expected, plan.bad);
             compared.fresh[key.host] = total;
             addTo(route.hostTests[key.host], ratios);
             addTo(state.allRoutesByHost[key.host], ratios);
-            for (size_t kind = 0; kind < badnessKinds; ++kind)
+            for (size_t kind = 0; kind < regressionKinds; ++kind)
                 add(sum[kind], ratios[kind]);
         }
         addTo(route.tests, sum);
@@ -230,8 +230,8 @@
     }
 
     // What is left of a score when its worst host is set aside. A noisy neighbour makes one host slow, a bad version all.
-    double scoreWithoutWorst(const std::array<SequentialTest, badnessKinds>& tests, size_t kind,
-        const std::map<base::HostId, std::array<SequentialTest, badnessKinds>>& hosts)
+    double scoreWithoutWorst(const std::array<SequentialTest, regressionKinds>& tests, size_t kind,
+        const std::map<base::HostId, std::array<SequentialTest, regressionKinds>>& hosts)
     {
         double worst = 0;
         for (const auto& [host, it] : hosts)
@@ -241,7 +241,7 @@
 
     const char* nameOf(size_t kind)
     {
-        constexpr std::array<const char*, badnessKinds> names { "fails more often", "is slower", "is slower under load", "stalls more often",
+        constexpr std::array<const char*, regressionKinds> names { "fails more often", "is slower", "is slower under load", "stalls more often",
             "stalls more often under load" };
         return names.at(kind);
     }
@@ -272,7 +272,7 @@
 
     struct Verdict {
         double worst = 0; // highest score found
-        std::string why; // not empty: bad
+        std::string reason; // not empty: bad
     };
 
     Verdict judgeTests(const RolloutState& state, const config::Rollout& plan)
@@ -280,12 +280,12 @@
         const bool several = countedHosts(state, plan.to) > 1;
         Verdict out;
         const auto judge = [&](const auto& tests, const auto& hosts, const std::string& where) {
-            for (size_t kind = 0; kind < badnessKinds; ++kind) {
+            for (size_t kind = 0; kind < regressionKinds; ++kind) {
                 const double score = tests[kind].score();
                 out.worst = std::max(out.worst, score);
-                const bool alone = several && scoreWithoutWorst(tests, kind, hosts) < state.settings.leanScore / 2;
-                if (out.why.empty() && score >= state.settings.takeBackScore && !alone)
-                    out.why = describe(state, plan, kind, where);
+                const bool alone = several && scoreWithoutWorst(tests, kind, hosts) < state.settings.holdScore / 2;
+                if (out.reason.empty() && score >= state.settings.rollbackScore && !alone)
+                    out.reason = describe(state, plan, kind, where);
             }
         };
         for (const auto& [name, route] : state.routes)
@@ -322,7 +322,7 @@
             if (key.version == version)
                 answers[key.route] += totalOf(state.book, key).answers;
         }
-        return !answers.empty() && std::all_of(answers.begin(), answers.end(), [&](const auto& it) { return it.second >= state.settings.provenAnswers; });
+        return !answers.empty() && std::all_of(answers.begin(), answers.end(), [&](const auto& it) { return it.second >= state.settings.minAnswersToRaise; });
     }
 
     // A completed rollout lets operators stop the old version at once. What it was given before the last step has ended by
@@ -333,11 +333,11 @@
     // 300 ms with a new leader) and the way of the first request, which is older than the moment from which we count.
     constexpr base::Duration completionMargin { 750 };
 
-    RolloutStep keep(const config::Rollout& plan, std::string why) { return { RolloutAction::Keep, plan.share, std::move(why) }; }
+    RolloutDecision keep(const config::Rollout& plan, std::string reason) { return { RolloutAction::Keep, plan.share, std::move(reason) }; }
 
-    const RolloutRung* nextRung(const RolloutState& state, const config::Rollout& plan)
+    const RolloutShareStep* nextRung(const RolloutState& state, const config::Rollout& plan)
     {
-        for (const RolloutRung& it : state.settings.ladder) {
+        for (const RolloutShareStep& it : state.settings.steps) {
             if (it.share > plan.share)
                 return &it;
         }
@@ -353,14 +353,14 @@
     // When a rung is due also without proof. In a rollout of seconds its fraction of the time is too late: each share is held
     // for `leastDwell`, so four of them and the end took 14.1 s at least and a good version asked for within 15 s came late.
     // Counted back from the end, the shares below the whole stay as small as long as can be.
-    base::WallTime latestFor(const RolloutState& state, const config::Rollout& plan, const RolloutRung* rung)
+    base::WallTime latestFor(const RolloutState& state, const config::Rollout& plan, const RolloutShareStep* rung)
     {
         base::WallTime latest = plan.completeBy + (lastRunsEnd + completionMargin) * -1;
-        for (const RolloutRung* it = &state.settings.ladder.back();; --it) {
+        for (const RolloutShareStep* it = &state.settings.steps.back();; --it) {
             latest = std::min(latest, at(state, plan, it->latest));
             if (it == rung)
                 return latest;
-            latest = latest + state.settings.leastDwell * -1;
+            latest = latest + state.settings.minStepDuration * -1;
         }
     }
 
@@ -388,28 +388,28 @@
         return now >= plan.completeBy && now - *state.lackingSince >= lackingIsFinal;
     }
 
-    RolloutStep climb(RolloutState& state, const config::Rollout& plan, const VersionUpstreams& upstreams, double worst, base::WallTime now)
+    RolloutDecision climb(RolloutState& state, const config::Rollout& plan, const VersionUpstreams& upstreams, double worst, base::WallTime now)
     {
-        const RolloutRung* rung = nextRung(state, plan);
-        const bool toAll = !rung || rung == &state.settings.ladder.back();
+        const RolloutShareStep* rung = nextRung(state, plan);
+        const bool toAll = !rung || rung == &state.settings.steps.back();
         if (upstreams.to == 0 || (toAll && !carryAll(upstreams)))
             return keep(plan, describe(upstreams, plan));
         if (!rung) {
-            if (now - state.lastRise < lastRunsEnd)
+            if (now - state.lastRaise < lastRunsEnd)
                 return keep(plan, "requests still run at the old version");
             return { RolloutAction::Complete, { 1000 }, "all traffic has moved" };
         }
-        const bool trial = rung == &state.settings.ladder.front();
-        if (!trial && now - state.lastRise < state.settings.leastDwell)
+        const bool trial = rung == &state.settings.steps.front();
+        if (!trial && now - state.lastRaise < state.settings.minStepDuration)
             return keep(plan, "waiting for reports at the present share");
         if (now < at(state, plan, rung->earliest))
             return keep(plan, "too early for the next share");
         const bool due = now >= latestFor(state, plan, rung);
-        if (worst >= state.settings.leanScore && now < at(state, plan, lastMoment))
+        if (worst >= state.settings.holdScore && now < at(state, plan, lastMoment))
             return keep(plan, "the evidence leans against the version, though not far enough to take it back");
         if (!trial && !due && !proven(state, plan.to))
             return keep(plan, "too few answers yet to raise the share ahead of the schedule");
-        state.lastRise = now;
+        state.lastRaise = now;
         base::PerMille share = rung->share;
         if (trial)
             share = std::min(share, std::max(plan.mostTrialShare, base::PerMille { 1 }));
@@ -421,13 +421,13 @@
 RolloutSettings rolloutSettings(config::Weighing weighing)
 {
     RolloutSettings out;
-    out.takeBackScore = 9;
-    out.leanScore = 4;
-    out.provenAnswers = 200;
+    out.rollbackScore = 9;
+    out.holdScore = 4;
+    out.minAnswersToRaise = 200;
     if (weighing == config::Weighing::SpeedAndTakeBack) {
-        out.ladder = { { { 50 }, 0, 0 }, { { 150 }, 0.2, 0.6 }, { { 400 }, 0.35, 0.75 }, { { 1000 }, 0.5, 0.85 } };
+        out.steps = { { { 50 }, 0, 0 }, { { 150 }, 0.2, 0.6 }, { { 400 }, 0.35, 0.75 }, { { 1000 }, 0.5, 0.85 } };
     } else {
-        out.ladder = { { { 50 }, 0, 0 }, { { 300 }, 0.1, 0.3 }, { { 1000 }, 0.3, 0.8 } };
+        out.steps = { { { 50 }, 0, 0 }, { { 300 }, 0.1, 0.3 }, { { 1000 }, 0.3, 0.8 } };
     }
     return out;
 }
@@ -437,7 +437,7 @@
     RolloutState state;
     state.settings = std::move(settings);
     state.startedAt = times.startedAt;
-    state.lastRise = times.sharedAt;
+    state.lastRaise = times.sharedAt;
     return state;
 }
 
@@ -447,7 +447,7 @@
     state.routes[evidence.route];
 }
 
-RolloutStep stepRollout(RolloutState& state, const config::Rollout& plan, const VersionUpstreams& upstreams, base::WallTime now, bool controlReachable)
+RolloutDecision decideRollout(RolloutState& state, const config::Rollout& plan, const VersionUpstreams& upstreams, base::WallTime now, bool controlReachable)
 {
     if (state.final)
         return *state.final;
@@ -456,19 +456,19 @@
             compareStretch(state, name, stream, plan, now);
     }
     Verdict verdict = judgeTests(state, plan);
-    if (verdict.why.empty() && stoppedByHosts(state, plan.to))
-        verdict.why = "most hosts of version " + plan.to.text + " stopped it by their own evidence";
-    if (verdict.why.empty() && failsWhileCold(state, plan.to))
-        verdict.why = "version " + plan.to.text + " fails while it starts and does not get warm";
-    if (verdict.why.empty() && lacksUpstreams(state, plan, upstreams, now))
-        verdict.why = "the time is up and " + describe(upstreams, plan);
-    if (!verdict.why.empty()) {
-        state.final = RolloutStep { RolloutAction::TakeBack, { 0 }, verdict.why };
+    if (verdict.reason.empty() && stoppedByHosts(state, plan.to))
+        verdict.reason = "most hosts of version " + plan.to.text + " stopped it by their own evidence";
+    if (verdict.reason.empty() && failsWhileCold(state, plan.to))
+        verdict.reason = "version " + plan.to.text + " fails while it starts and does not get warm";
+    if (verdict.reason.empty() && lacksUpstreams(state, plan, upstreams, now))
+        verdict.reason = "the time is up and " + describe(upstreams, plan);
+    if (!verdict.reason.empty()) {
+        state.final = RolloutDecision { RolloutAction::RollBack, { 0 }, verdict.reason };
         return *state.final;
     }
     if (!controlReachable)
         return keep(plan, "control is not reachable, so the share stays");
-    RolloutStep step = climb(state, plan, upstreams, verdict.worst, now);
+    RolloutDecision step = climb(state, plan, upstreams, verdict.worst, now);
     if (step.action == RolloutAction::Complete)
         state.final = step;
     return step;
--- a/src/appletally/policy/rollout.h
+++ b/src/appletally/policy/rollout.h
@@ -21,7 +21,7 @@
 #include "appletally/base/ids.h"
 #include "appletally/config/evidence.h"
 #include "appletally/config/model.h"
-#include "appletally/policy/evidence_book.h"
+#include "appletally/policy/evidence_totals.h"
 #include "appletally/policy/latency_bins.h"
 #include "appletally/policy/sequential_test.h"
 
@@ -34,18 +34,18 @@
 namespace appletally::policy {
 
 // A rung of the ladder. Fractions are of the time from the rollout's start to `completeBy`.
-struct RolloutRung {
+struct RolloutShareStep {
     base::PerMille share;
     double earliest = 0; // not before, however good the evidence
     double latest = 0; // by then also without proof, unless the evidence leans against the version; sooner in a short rollout
 };
 
 struct RolloutSettings {
-    std::vector<RolloutRung> ladder; // the last has 1000; the first rung's share is capped by the plan's mostTrialShare
-    double takeBackScore = 0; // log likelihood ratio at which a version is bad
-    double leanScore = 0; // from here on no rise before the last moment
-    uint64_t provenAnswers = 0; // warm answers on a route that count as proof, when nothing leans against it
-    base::Duration leastDwell { 2000 }; // at one share: reports of the share before must have come in
+    std::vector<RolloutShareStep> steps; // the last has 1000; the first rung's share is capped by the plan's mostTrialShare
+    double rollbackScore = 0; // log likelihood ratio at which a version is bad
+    double holdScore = 0; // from here on no rise before the last moment
+    uint64_t minAnswersToRaise = 0; // warm answers on a route that count as proof, when nothing leans against it
+    base::Duration minStepDuration { 2000 }; // at one share: reports of the share before must have come in
 };
 
 // The settings of the two kinds of deployment; docs/DESIGN-claims.md derives them.
@@ -54,14 +54,14 @@
 enum class RolloutAction : uint8_t {
     Keep,
     Raise, // to `share`
-    TakeBack, // share 0, for good
+    RollBack, // share 0, for good
     Complete, // share 1000, for good
 };
 
-struct RolloutStep {
+struct RolloutDecision {
     RolloutAction action = RolloutAction::Keep;
     base::PerMille share; // from now on
-    std::string why; // one sentence for operators
+    std::string reason; // one sentence for operators
 };
 
 // Decayed counters of the old version on one route, which give the baseline where a stretch has few of its answers.
@@ -79,12 +79,12 @@
 };
 
 // Each is tested by itself: a version that is slow only under load would be outvoted by its many quick answers.
-enum class BadnessKind : uint8_t { Failing,
+enum class RegressionKind : uint8_t { Failing,
     Slow,
     SlowUnderLoad,
     Stalling,
     StallingUnderLoad };
-constexpr size_t badnessKinds = 5;
+constexpr size_t regressionKinds = 5;
 
 // Answers are compared in three streams, each over stretches of its own: in an overload the old version has plenty of busy
 // answers at once and quiet ones only after a while, and a quiet one compared too early finds no old one beside it.
@@ -104,9 +104,9 @@
 struct RolloutRoute {
     std::array<Compared, streamCount> compared;
     Baseline baseline;
-    std::array<RecentRate, badnessKinds> recent;
-    std::array<SequentialTest, badnessKinds> tests; // all hosts of the new version
-    std::map<base::HostId, std::array<SequentialTest, badnessKinds>> hostTests;
+    std::array<RecentRate, regressionKinds> recent;
+    std::array<SequentialTest, regressionKinds> tests; // all hosts of the new version
+    std::map<base::HostId, std::array<SequentialTest, regressionKinds>> hostTests;
 };
 
 // Ready upstreams of a rollout's two versions, as control knows them.
@@ -118,13 +118,13 @@
 struct RolloutState {
     RolloutSettings settings;
     base::WallTime startedAt;
-    base::WallTime lastRise;
+    base::WallTime lastRaise;
     std::optional<base::WallTime> lackingSince; // too few upstreams of the new version beside those of the old one
-    EvidenceBook book;
+    EvidenceTotals book;
     std::map<base::RouteName, RolloutRoute> routes;
-    std::array<SequentialTest, badnessKinds> allRoutes; // pooled: finds what is thin on each route by itself
-    std::map<base::HostId, std::array<SequentialTest, badnessKinds>> allRoutesByHost;
-    std::optional<RolloutStep> final; // TakeBack or Complete; invariant: never changed once set
+    std::array<SequentialTest, regressionKinds> allRoutes; // pooled: finds what is thin on each route by itself
+    std::map<base::HostId, std::array<SequentialTest, regressionKinds>> allRoutesByHost;
+    std::optional<RolloutDecision> final; // TakeBack or Complete; invariant: never changed once set
 };
 
 // When the log committed the rollout and its present share, so that a new leader goes on with the same schedule.
@@ -139,6 +139,6 @@
 void onEvidence(RolloutState&, const config::Evidence&);
 
 // `plan` is the rollout as it is in force now. Call after reports came in and at least every 200 ms.
-RolloutStep stepRollout(RolloutState&, const config::Rollout& plan, const VersionUpstreams&, base::WallTime now, bool controlReachable);
+RolloutDecision decideRollout(RolloutState&, const config::Rollout& plan, const VersionUpstreams&, base::WallTime now, bool controlReachable);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/source_race.cpp
+++ b/src/appletally/policy/source_race.cpp
@@ -53,11 +53,11 @@
     it.searchBegan = now;
     for (RaceSource& each : it.sources) {
         each.isolated = false;
-        each.promised = false;
+        each.hasReservation = false;
     }
 }
 
-std::optional<size_t> nextTry(SourceRace& it, base::Time now, uint64_t random)
+std::optional<size_t> startNextAttempt(SourceRace& it, base::Time now, uint64_t random)
 {
     if (it.sources.empty() || allTries(it) >= mostTries || staggered(it, now) > now)
         return std::nullopt;
@@ -75,7 +75,7 @@
     return best;
 }
 
-base::Time nextLook(const SourceRace& it, base::Time now)
+base::Time nextAttemptAt(const SourceRace& it, base::Time now)
 {
     base::Time earliest = now + longestLook;
     if (allTries(it) >= mostTries)
@@ -86,14 +86,14 @@
     return earliest;
 }
 
-void tryFailed(SourceRace& it, size_t source, std::optional<SourceRefusal> told, base::Time now, uint64_t random)
+void onAttemptFailed(SourceRace& it, size_t source, std::optional<SourceRejection> told, base::Time now, uint64_t random)
 {
     RaceSource& each = it.sources[source];
     each.tries -= std::min<size_t>(each.tries, 1);
-    each.promised = told.has_value();
+    each.hasReservation = told.has_value();
     each.isolated = told && told->isolated;
-    const auto comeBackIn = told ? std::optional(told->comeBackIn) : std::nullopt;
-    each.notBefore = now + waitAfterFailure(each.backoff, comeBackIn, random);
+    const auto retryAfter = told ? std::optional(told->retryAfter) : std::nullopt;
+    each.notBefore = now + waitAfterFailure(each.backoff, retryAfter, random);
 }
 
 void endRace(SourceRace& it)
--- a/src/appletally/policy/source_race.h
+++ b/src/appletally/policy/source_race.h
@@ -32,15 +32,15 @@
 constexpr base::Duration lastResortAfter { 2000 };
 
 // What a source said that took no client.
-struct SourceRefusal {
-    base::Duration comeBackIn;
+struct SourceRejection {
+    base::Duration retryAfter;
     bool isolated = false; // it has lost most other control processes
 };
 
 struct RaceSource {
     Backoff backoff;
     base::Time notBefore;
-    bool promised = false; // it named the moment notBefore itself
+    bool hasReservation = false; // it named the moment notBefore itself
     bool isolated = false; // said so in this search
     size_t tries = 0; // under way
     base::Time lastBegan; // meaningless without tries
@@ -56,13 +56,13 @@
 
 // A source to try now, counted as being tried: one without a try, else the one whose last try is oldest, isolated ones
 // last. Among several without one any, so that a herd spreads. Empty: none yet, see nextLook.
-std::optional<size_t> nextTry(SourceRace&, base::Time now, uint64_t random);
+std::optional<size_t> startNextAttempt(SourceRace&, base::Time now, uint64_t random);
 
 // When to ask again, unless a try ends before.
-base::Time nextLook(const SourceRace&, base::Time now);
+base::Time nextAttemptAt(const SourceRace&, base::Time now);
 
 // A try, or the link that came of one, failed. `told`: the source answered, and said when to come back.
-void tryFailed(SourceRace&, size_t source, std::optional<SourceRefusal> told, base::Time now, uint64_t random);
+void onAttemptFailed(SourceRace&, size_t source, std::optional<SourceRejection> told, base::Time now, uint64_t random);
 
 // A try won; the others are dropped and count as no failures.
 void endRace(SourceRace&);
--- a/src/appletally/policy/version_view.cpp
+++ b/src/appletally/policy/version_stats.cpp
@@ -1,5 +1,5 @@
-// Moving estimates; see version_view.h.
-#include "appletally/policy/version_view.h"
+// Moving estimates; see version_stats.h.
+#include "appletally/policy/version_stats.h"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 constexpr double medianStep = 0.05; // in balance where half the answers are longer
 constexpr double leastMs = 1; // a clock in milliseconds sees no less
 
-void observe(VersionView& it, bool failed, base::Duration run, uint64_t other)
+void observe(VersionStats& it, bool failed, base::Duration run, uint64_t other)
 {
     const double ms = std::max(static_cast<double>(run.ms), leastMs);
     it.failures += ((failed ? 1.0 : 0.0) - it.failures) * weight;
@@ -23,7 +23,7 @@
     ++it.answers;
 }
 
-std::optional<CallerBaseline> baselineOf(const VersionView& old, const VersionView& fresh)
+std::optional<CallerBaseline> baselineOf(const VersionStats& old, const VersionStats& fresh)
 {
     if (old.answers < leastAnswers || (fresh.failing && old.answers - fresh.othersBefore < leastSince))
         return std::nullopt;
--- a/src/appletally/policy/version_view.h
+++ b/src/appletally/policy/version_stats.h
@@ -5,13 +5,13 @@
 // each of those answers is lost. The caller's node sees both versions, so it tells with each call how the old one does.
 #pragma once
 
-#include "appletally/policy/local_verdict.h"
+#include "appletally/policy/local_version_monitor.h"
 
 #include <optional>
 
 namespace appletally::policy {
 
-struct VersionView {
+struct VersionStats {
     uint64_t answers = 0;
     double failures = 0; // moving share of the last few answers, 0 to 1
     double medianMs = 0; // moving estimate of the run time at the upstream
@@ -20,10 +20,10 @@
 };
 
 // `other`: answers of the version it is compared with, up to now.
-void observe(VersionView&, bool failed, base::Duration run, uint64_t other);
+void observe(VersionStats&, bool failed, base::Duration run, uint64_t other);
 
 // How the old version does, for a call to the new one. None: it has too few answers to say anything, or too few since the
 // new one began to fail: an outage of both looks like one of the new version until the old one has met it as well.
-std::optional<CallerBaseline> baselineOf(const VersionView& old, const VersionView& fresh);
+std::optional<CallerBaseline> baselineOf(const VersionStats& old, const VersionStats& fresh);
 
 } // namespace appletally::policy
--- a/tests/claims_fuzz_test.cpp
+++ b/tests/claims_fuzz_test.cpp
@@ -1,5 +1,5 @@
-// At-most-once claims under fuzzing, and recorded traces of the traps, each against the oracle of claims_world.h.
-#include "claims_world.h"
+// At-most-once claims under fuzzing, and recorded traces of the traps, each against the oracle of claims_simulation.h.
+#include "claims_simulation.h"
 #include "fixed_seed.h"
 
 #include <algorithm>
