--- a/src/appletally/policy/claim_keeper.cpp
+++ b/src/appletally/policy/claim_keeper.cpp
@@ -1,4 +1,4 @@
-// One record for each key: held by an attempt, or finished with an outcome. See the header for why this is safe.
+// One record per key: held by an attempt, or finished with an outcome. The header explains why this is safe.
 #include "appletally/policy/claim_keeper.h"
 
 #include <algorithm>
@@ -7,13 +7,13 @@
 
 namespace {
 
-    // Beside the strings: the nodes of two maps, vectors and the outcome's fixed part, measured generously.
+    // Besides the strings: the nodes of two maps, vectors and the fixed part of the outcome, rounded up.
     constexpr size_t fixedClaimBytes = 320;
 
-    // A given-up attempt is remembered this long, so that its late ask does not hold the key. Messages between nodes
-    // that are later than this belong to a link that was closed as silent.
-    constexpr base::Duration releasedMemory { 10'000 };
-    constexpr size_t mostReleased = 20'000;
+    // A released attempt is remembered for this time, so that its late request does not hold the key. Messages between
+    // nodes that are later than this belong to a link that was closed as silent.
+    constexpr base::Duration releasedRetention { 10'000 };
+    constexpr size_t maxReleased = 20'000;
 
     size_t bytesOf(const ClaimOutcome& it)
     {
@@ -61,14 +61,15 @@
         keeper.claims.erase(it);
     }
 
-    // The first recorded outcome stays: a second one would mean that the key ran twice, and callers were told the first.
+    // The first recorded outcome is kept. A second one would mean that the key ran twice, and callers have received the
+    // first.
     void recordOutcome(ClaimKeeper& keeper, Claim& claim, uint64_t digest, const ClaimOutcome& outcome)
     {
         if (claim.outcome)
             return;
         ClaimOutcome kept = outcome;
         const bool tooLong = bytesOf(kept) > keeper.settings.maxOutcomeBytes.count;
-        if (tooLong || keeper.outcomeBytes + bytesOf(kept) > keeper.settings.outcomeMemory.count) {
+        if (tooLong || keeper.outcomeBytes + bytesOf(kept) > keeper.settings.maxOutcomeMemory.count) {
             kept.headers.clear();
             kept.body.clear();
             kept.bodyKept = false;
@@ -79,8 +80,8 @@
         claim.holders.clear();
     }
 
-    // Is this keeper sure that it has forgotten no claim of this key?
-    bool settled(const ClaimKeeper& keeper, const ClaimKey& key)
+    // Whether this keeper has all claims of this key that it granted before a restart.
+    bool knowsAllClaims(const ClaimKeeper& keeper, const ClaimKey& key)
     {
         if (keeper.caughtUp)
             return true;
@@ -99,10 +100,10 @@
         return true;
     }
 
-    void noteWindowPassed(ClaimKeeper& keeper, base::Time now)
+    void completeAfterWindow(ClaimKeeper& keeper, base::Time now)
     {
-        // Every claim that was forgotten at the start has run out by now at the other keepers too, so that no keeper
-        // still answers for a run that this one would let happen again.
+        // By now every claim lost at the restart has also expired at the other keepers, so that no keeper still answers
+        // for a run that this one would grant again.
         if (!keeper.caughtUp && now - keeper.startedAt >= claimLife(keeper.settings))
             keeper.caughtUp = true;
     }
@@ -118,59 +119,61 @@
         return out;
     }
 
-    void noteSeen(ClaimKeeper& keeper, const base::HostId& host, base::Incarnation incarnation)
+    void recordIncarnation(ClaimKeeper& keeper, const base::HostId& host, base::Incarnation incarnation)
     {
         base::Incarnation& known = keeper.seen[host];
         known = std::max(known, incarnation);
     }
 
-    bool heldOnlyForOthers(const Claim& claim, uint64_t digest)
+    bool heldForOtherRequest(const Claim& claim, uint64_t digest)
     {
         return std::none_of(claim.holders.begin(), claim.holders.end(), [&](const ClaimHolder& it) { return it.digest == digest; });
     }
 
-    void answerFromClaim(const ClaimKeeper& keeper, const Claim& claim, const ClaimRequest& ask, base::Time now, ClaimAnswer& out)
+    void answerFromClaim(const ClaimKeeper& keeper, const Claim& claim, const ClaimRequest& request, base::Time now, ClaimAnswer& out)
     {
         if (claim.outcome) {
-            const bool same = claim.digest == ask.digest;
+            const bool same = claim.digest == request.digest;
             out.reply = same ? ClaimReply::Finished : ClaimReply::KeyReusedDifferently;
             out.outcome = same ? claim.outcome : std::nullopt;
             return;
         }
-        if (heldOnlyForOthers(claim, ask.digest)) {
-            // Asked for by the round as proof that this request did not run, so only from a keeper that forgot nothing.
-            out.reply = settled(keeper, ask.key) ? ClaimReply::KeyReusedDifferently : ClaimReply::CatchingUp;
+        if (heldForOtherRequest(claim, request.digest)) {
+            // The round takes this as proof that the request did not run, so only a keeper without missing claims may
+            // send it.
+            out.reply = knowsAllClaims(keeper, request.key) ? ClaimReply::KeyReusedDifferently : ClaimReply::CatchingUp;
             return;
         }
-        const bool first = claim.holders.front().attempt == ask.attempt;
+        const bool first = claim.holders.front().attempt == request.attempt;
         out.reply = ClaimReply::Held;
         out.holder = first ? claim.holders.back().attempt : claim.holders.front().attempt;
         out.overdue = now >= claim.overdueAt;
     }
 
-    bool heldOnlyBy(const Claim& claim, const ClaimRequest& ask)
+    bool heldOnlyBy(const Claim& claim, const ClaimRequest& request)
     {
-        return !claim.outcome && claim.holders.size() == 1 && claim.holders.front().attempt == ask.attempt;
+        return !claim.outcome && claim.holders.size() == 1 && claim.holders.front().attempt == request.attempt;
     }
 
     bool hasRoom(const ClaimKeeper& keeper, const ClaimKey& key)
     {
-        return keeper.claimBytes + bytesOf(key) <= keeper.settings.claimMemory.count;
+        return keeper.claimBytes + bytesOf(key) <= keeper.settings.maxClaimMemory.count;
     }
 
-    void grant(ClaimKeeper& keeper, const ClaimRequest& ask, base::Time now)
+    void grant(ClaimKeeper& keeper, const ClaimRequest& request, base::Time now)
     {
-        Claim& claim = addClaim(keeper, ask.key);
-        claim.holders = { { ask.attempt, ask.digest } };
-        claim.overdueAt = now + ask.runWithin;
-        setKeepUntil(keeper, ask.key, claim, now + ask.runWithin + keeper.settings.window);
+        Claim& claim = addClaim(keeper, request.key);
+        claim.holders = { { request.attempt, request.digest } };
+        claim.overdueAt = now + request.runWithin;
+        setKeepUntil(keeper, request.key, claim, now + request.runWithin + keeper.settings.window);
     }
 
-    // Nothing can be missing where no set was ever agreed or this host is in none: it granted nothing in any set that is
-    // still asked, since a host leaves a set a whole window before it is asked no longer.
+    // No claim can be missing if no set was ever agreed on or this host is in none: it granted nothing in any set that
+    // is still in use, since a host stays in the previous set for a whole claim lifetime before it stops receiving
+    // requests.
     void beginCatchUp(ClaimKeeper& keeper, const config::KeeperSet& set)
     {
-        keeper.sawSet = true;
+        keeper.hasAppliedSet = true;
         keeper.bootSet = set;
         bool member = false;
         for (const std::vector<config::Keeper>* group : { &set.members, &set.previous }) {
@@ -198,50 +201,50 @@
 
 void applyKeeperSet(ClaimKeeper& keeper, const config::KeeperSet& set, base::Time now)
 {
-    noteWindowPassed(keeper, now);
-    if (!keeper.sawSet)
+    completeAfterWindow(keeper, now);
+    if (!keeper.hasAppliedSet)
         beginCatchUp(keeper, set);
     if (set.number > keeper.set.number)
         keeper.set = set;
 }
 
-ClaimAnswer onClaimRequest(ClaimKeeper& keeper, const ClaimRequest& ask, base::Time now)
+ClaimAnswer onClaimRequest(ClaimKeeper& keeper, const ClaimRequest& request, base::Time now)
 {
     expireClaims(keeper, now);
     ClaimAnswer out;
-    out.key = ask.key;
-    out.attempt = ask.attempt;
+    out.key = request.key;
+    out.attempt = request.attempt;
     out.number = keeper.set.number;
     out.incarnation = keeper.incarnation;
-    // An asker under another number asks other keepers than those who know the key's claims.
-    if (ask.number != keeper.set.number) {
+    // A requester with another set number contacts other keepers than those that have the key's claims.
+    if (request.number != keeper.set.number) {
         out.reply = ClaimReply::WrongSet;
         return out;
     }
-    const auto found = keeper.claims.find(ask.key);
-    if (found != keeper.claims.end() && !heldOnlyBy(found->second, ask)) {
-        answerFromClaim(keeper, found->second, ask, now, out);
+    const auto found = keeper.claims.find(request.key);
+    if (found != keeper.claims.end() && !heldOnlyBy(found->second, request)) {
+        answerFromClaim(keeper, found->second, request, now, out);
         return out;
     }
-    if (!settled(keeper, ask.key)) {
+    if (!knowsAllClaims(keeper, request.key)) {
         out.reply = ClaimReply::CatchingUp;
         return out;
     }
-    if (keeper.released.contains({ ask.key, ask.attempt })) {
+    if (keeper.released.contains({ request.key, request.attempt })) {
         out.reply = ClaimReply::Released;
         return out;
     }
-    out.seen = seenOf(keeper, ask.key);
+    out.seen = seenOf(keeper, request.key);
     if (found != keeper.claims.end()) {
         out.reply = ClaimReply::AlreadyGranted;
         return out;
     }
-    // Forgetting a live claim to make room would let its key run again, so a new one is refused instead.
-    if (!hasRoom(keeper, ask.key)) {
+    // Evicting a live claim would let its key run again, so a new claim is rejected instead.
+    if (!hasRoom(keeper, request.key)) {
         out.reply = ClaimReply::Full;
         return out;
     }
-    grant(keeper, ask, now);
+    grant(keeper, request, now);
     out.reply = ClaimReply::Granted;
     return out;
 }
@@ -250,8 +253,9 @@
 {
     expireClaims(keeper, now);
     auto found = keeper.claims.find(finish.key);
-    // The attempt ran, so it had its majority and whoever else holds the key here lost: the outcome goes over it. Beyond
-    // the memory bound it is dropped where this keeper never granted; the majority that did has room reserved for it.
+    // The attempt ran, so it had its majority and any other holder of the key here lost: the outcome replaces it.
+    // Beyond the memory limit it is dropped if this keeper never granted the claim; the majority that did has memory
+    // reserved for it.
     if (found == keeper.claims.end() && !hasRoom(keeper, finish.key))
         return { finish.key, finish.attempt };
     Claim& claim = found == keeper.claims.end() ? addClaim(keeper, finish.key) : found->second;
@@ -263,8 +267,8 @@
 ClaimAck onClaimRelease(ClaimKeeper& keeper, const ClaimRelease& release, base::Time now)
 {
     expireClaims(keeper, now);
-    if (keeper.released.size() < mostReleased && keeper.released.insert({ release.key, release.attempt }).second)
-        keeper.releasedExpiry.push_back({ now + releasedMemory, { release.key, release.attempt } });
+    if (keeper.released.size() < maxReleased && keeper.released.insert({ release.key, release.attempt }).second)
+        keeper.releasedExpiry.push_back({ now + releasedRetention, { release.key, release.attempt } });
     const auto found = keeper.claims.find(release.key);
     if (found == keeper.claims.end() || found->second.outcome)
         return { release.key, release.attempt };
@@ -286,25 +290,25 @@
     return out;
 }
 
-CatchUpAnswer onCatchUpRequest(ClaimKeeper& keeper, const CatchUpRequest& ask, base::Time now)
+CatchUpAnswer onCatchUpRequest(ClaimKeeper& keeper, const CatchUpRequest& request, base::Time now)
 {
     expireClaims(keeper, now);
     CatchUpAnswer out;
     out.host = keeper.self;
     out.incarnation = keeper.incarnation;
-    out.requester = ask.incarnation;
-    out.after = ask.after;
-    // From here on this keeper's grants say that the asker restarted, so that its older grants no longer count. That
-    // covers a claim granted here after this page was cut.
-    noteSeen(keeper, ask.host, ask.incarnation);
+    out.requester = request.incarnation;
+    out.after = request.after;
+    // From here on this keeper's grants report that the requester restarted, so that its older grants no longer count.
+    // That covers a claim granted here after this page was created.
+    recordIncarnation(keeper, request.host, request.incarnation);
     if (!keeper.caughtUp) {
         out.catchingUp = true;
         return out;
     }
-    auto it = ask.after ? keeper.claims.upper_bound(*ask.after) : keeper.claims.begin();
+    auto it = request.after ? keeper.claims.upper_bound(*request.after) : keeper.claims.begin();
     for (; it != keeper.claims.end() && out.claims.size() < keeper.settings.catchUpBatch; ++it) {
         const auto& [key, claim] = *it;
-        if (!has(keepersOf(ask.set, key).all(), ask.host))
+        if (!has(keepersOf(request.set, key).all(), request.host))
             continue;
         out.claims.push_back({ key, claim.holders, claim.digest, claim.outcome, claim.keepUntil - now, claim.overdueAt - now });
     }
@@ -314,24 +318,25 @@
 
 namespace {
 
-    void mergeClaim(ClaimKeeper& keeper, const CatchUpClaim& caught, base::Time now)
+    void mergeClaim(ClaimKeeper& keeper, const CatchUpClaim& received, base::Time now)
     {
         std::vector<ClaimHolder> holders;
-        for (const ClaimHolder& it : caught.holders) {
-            if (!keeper.released.contains({ caught.key, it.attempt }))
+        for (const ClaimHolder& it : received.holders) {
+            if (!keeper.released.contains({ received.key, it.attempt }))
                 holders.push_back(it);
         }
-        if (holders.empty() && !caught.outcome)
+        if (holders.empty() && !received.outcome)
             return;
-        // Over the memory bound as well: this claim is live, and a keeper that forgets a live one lets its key run twice.
-        const auto found = keeper.claims.find(caught.key);
-        Claim& claim = found == keeper.claims.end() ? addClaim(keeper, caught.key) : found->second;
-        setKeepUntil(keeper, caught.key, claim, now + caught.keepFor);
-        claim.overdueAt = std::max(claim.overdueAt, now + caught.overdueIn);
+        // Also beyond the memory limit: this claim is live, and a keeper that drops a live claim lets its key run
+        // twice.
+        const auto found = keeper.claims.find(received.key);
+        Claim& claim = found == keeper.claims.end() ? addClaim(keeper, received.key) : found->second;
+        setKeepUntil(keeper, received.key, claim, now + received.keepFor);
+        claim.overdueAt = std::max(claim.overdueAt, now + received.overdueIn);
         if (claim.outcome)
             return;
-        if (caught.outcome) {
-            recordOutcome(keeper, claim, caught.digest, *caught.outcome);
+        if (received.outcome) {
+            recordOutcome(keeper, claim, received.digest, *received.outcome);
             return;
         }
         for (const ClaimHolder& it : holders) {
@@ -344,7 +349,7 @@
 
 void onCatchUpAnswer(ClaimKeeper& keeper, const CatchUpAnswer& answer, base::Time now)
 {
-    noteSeen(keeper, answer.host, answer.incarnation);
+    recordIncarnation(keeper, answer.host, answer.incarnation);
     const auto found = keeper.peers.find(answer.host);
     if (keeper.caughtUp || found == keeper.peers.end() || answer.requester != keeper.incarnation || answer.catchingUp)
         return;
@@ -356,7 +361,7 @@
         peer = { answer.incarnation, std::nullopt, false };
     }
     if (answer.after != peer.after)
-        return; // doubled or of an earlier incarnation's pages
+        return; // a duplicate, or a page of a previous incarnation
     for (const CatchUpClaim& it : answer.claims)
         mergeClaim(keeper, it, now);
     if (!answer.claims.empty())
@@ -367,7 +372,7 @@
 
 void expireClaims(ClaimKeeper& keeper, base::Time now)
 {
-    noteWindowPassed(keeper, now);
+    completeAfterWindow(keeper, now);
     while (!keeper.expiry.empty() && keeper.expiry.begin()->first <= now) {
         const auto found = keeper.claims.find(keeper.expiry.begin()->second);
         keeper.expiry.erase(keeper.expiry.begin());
--- a/src/appletally/policy/claim_round.cpp
+++ b/src/appletally/policy/claim_round.cpp
@@ -1,4 +1,4 @@
-// Counts grants per group of keepers, decides once, and sends the ending until the keepers have noted it.
+// Counts grants per group of keepers, decides once, and sends end messages until the keepers acknowledge them.
 #include "appletally/policy/claim_round.h"
 
 #include <algorithm>
@@ -10,13 +10,13 @@
     bool isGrant(ClaimReply it) { return it == ClaimReply::Granted || it == ClaimReply::AlreadyGranted; }
 
     // A grant from before a restart does not count once any other keeper of the key has seen that restart: the keeper
-    // may have come back and caught up without this claim.
+    // may have restarted and caught up without this claim.
     bool isStale(const ClaimRound& round, const base::HostId& host, const ClaimAnswer& grant)
     {
-        for (const auto& [other, asked] : round.asked) {
-            if (!asked.answer || !isGrant(asked.answer->reply))
+        for (const auto& [other, requested] : round.requested) {
+            if (!requested.answer || !isGrant(requested.answer->reply))
                 continue;
-            for (const SeenKeeper& it : asked.answer->seen) {
+            for (const SeenKeeper& it : requested.answer->seen) {
                 if (it.host == host && it.incarnation > grant.incarnation)
                     return true;
             }
@@ -27,10 +27,10 @@
     struct GroupCount {
         size_t size = 0;
         size_t granted = 0;
-        size_t full = 0; // knows of no claim, has no room for one
-        size_t reused = 0; // held for another request with the same key
+        size_t full = 0; // has no claim for the key and no memory for one
+        size_t reused = 0; // held for a different request with the same key
         size_t held = 0;
-        size_t mostHeldByOne = 0; // by one other attempt
+        size_t maxHeldByOne = 0; // by one other attempt
         size_t blocked() const { return full + reused + held; }
         size_t need() const { return grantsNeeded(size); }
     };
@@ -41,16 +41,16 @@
         out.size = group.size();
         std::map<base::AttemptId, size_t> holders;
         for (const base::HostId& host : group) {
-            const AskedKeeper& asked = round.asked.at(host);
-            if (!asked.answer)
+            const RequestedKeeper& requested = round.requested.at(host);
+            if (!requested.answer)
                 continue;
-            const ClaimAnswer& it = *asked.answer;
+            const ClaimAnswer& it = *requested.answer;
             out.granted += isGrant(it.reply) && !isStale(round, host, it) ? 1 : 0;
             out.full += it.reply == ClaimReply::Full ? 1 : 0;
             out.reused += it.reply == ClaimReply::KeyReusedDifferently ? 1 : 0;
             if (it.reply == ClaimReply::Held) {
                 ++out.held;
-                out.mostHeldByOne = std::max(out.mostHeldByOne, ++holders[it.holder]);
+                out.maxHeldByOne = std::max(out.maxHeldByOne, ++holders[it.holder]);
             }
         }
         return out;
@@ -86,26 +86,26 @@
         round.endedAt = now;
     }
 
-    // A record tells the truth whoever has it: only the attempt that ran writes one.
+    // A recorded outcome is valid from any keeper: only the attempt that ran records one.
     bool decidedByRecord(ClaimRound& round, const ClaimAnswer& answer, base::Time now)
     {
         if (answer.reply != ClaimReply::Finished || !answer.outcome)
             return false;
         round.outcome = answer.outcome;
-        decide(round, ClaimDecision::AnswerRecorded, base::Code::Ok, "it ran before", now);
+        decide(round, ClaimDecision::AnswerRecorded, base::Code::Ok, "the request ran before", now);
         return true;
     }
 
-    // Racing attempts that split the keepers: the lowest attempt id keeps its grants and asks again, the others give way
-    // at once. So a race ends within a round, and one of the racers runs.
-    bool mustGiveWay(const ClaimRound& round)
+    // When racing attempts split the keepers, the lowest attempt id keeps its grants and requests again, and the others
+    // yield immediately. So a race ends within one round, and one of the attempts runs.
+    bool mustYield(const ClaimRound& round)
     {
-        for (const auto& [host, asked] : round.asked) {
-            if (!asked.answer)
+        for (const auto& [host, requested] : round.requested) {
+            if (!requested.answer)
                 continue;
-            if (asked.answer->reply == ClaimReply::Held && asked.answer->holder < round.attempt)
+            if (requested.answer->reply == ClaimReply::Held && requested.answer->holder < round.attempt)
                 return true;
-            if (asked.answer->reply == ClaimReply::KeyReusedDifferently)
+            if (requested.answer->reply == ClaimReply::KeyReusedDifferently)
                 return true;
         }
         return false;
@@ -119,11 +119,11 @@
             return;
         }
         if (inEach(groups, [](const GroupCount& it) { return it.reused >= it.need(); })) {
-            decide(round, ClaimDecision::NotRun, base::Code::KeyReusedDifferently, "another request has the key", now);
+            decide(round, ClaimDecision::NotRun, base::Code::KeyReusedDifferently, "the key was used for a different request", now);
             return;
         }
-        if (inAny(groups, [](const GroupCount& it) { return it.mostHeldByOne >= it.need(); })) {
-            decide(round, ClaimDecision::OutcomeUnknown, base::Code::ClaimHeld, "another attempt of the key holds its claim", now);
+        if (inAny(groups, [](const GroupCount& it) { return it.maxHeldByOne >= it.need(); })) {
+            decide(round, ClaimDecision::OutcomeUnknown, base::Code::ClaimHeld, "another attempt with the key holds its claim", now);
             return;
         }
         const bool blocked = inAny(groups, [](const GroupCount& it) { return it.size - it.blocked() < it.need(); });
@@ -131,68 +131,68 @@
             return;
         const bool onlyRoom = inEach(groups, [](const GroupCount& it) { return it.granted + it.full >= it.need(); });
         if (onlyRoom)
-            decide(round, ClaimDecision::NotRun, base::Code::Overloaded, "the key's keepers have no room for a claim", now);
-        else if (mustGiveWay(round))
-            decide(round, ClaimDecision::OutcomeUnknown, base::Code::ClaimHeld, "gave way to a racing attempt of the key", now);
+            decide(round, ClaimDecision::NotRun, base::Code::Overloaded, "the key's keepers have no memory for another claim", now);
+        else if (mustYield(round))
+            decide(round, ClaimDecision::OutcomeUnknown, base::Code::ClaimHeld, "yielded to a racing attempt with the key", now);
     }
 
-    bool counts(const AskedKeeper& asked, const ClaimAnswer& answer)
+    bool supersedes(const RequestedKeeper& requested, const ClaimAnswer& answer)
     {
-        if (!asked.answer)
+        if (!requested.answer)
             return true;
-        if (answer.incarnation != asked.answer->incarnation)
-            return answer.incarnation > asked.answer->incarnation;
-        // Within one incarnation a grant stands until this round gives it up, so anything else was sent before it.
-        return !isGrant(asked.answer->reply);
+        if (answer.incarnation != requested.answer->incarnation)
+            return answer.incarnation > requested.answer->incarnation;
+        // Within one incarnation a grant is valid until this round releases it, so any other answer was sent before it.
+        return !isGrant(requested.answer->reply);
     }
 
-    // Which answers are worth asking again for: all that may change while the round lasts.
-    bool mayChange(const ClaimRound& round, const AskedKeeper& asked)
+    // Whether a keeper's answer may still change while the round lasts, so that the request is worth repeating.
+    bool mayChange(const ClaimRound& round, const RequestedKeeper& requested)
     {
-        if (!asked.answer)
+        if (!requested.answer)
             return true;
-        switch (asked.answer->reply) {
+        switch (requested.answer->reply) {
         case ClaimReply::Granted:
         case ClaimReply::AlreadyGranted:
         case ClaimReply::Finished:
         case ClaimReply::Released:
             return false;
         case ClaimReply::WrongSet:
-            return asked.answer->number < round.number; // it follows soon; one ahead never comes back
+            return requested.answer->number < round.number; // a keeper behind will catch up; one ahead never returns to an older set
         default:
             return true;
         }
     }
 
-    bool isStaleGrant(const ClaimRound& round, const base::HostId& host, const AskedKeeper& asked)
+    bool isStaleGrant(const ClaimRound& round, const base::HostId& host, const RequestedKeeper& requested)
     {
-        return asked.answer && isGrant(asked.answer->reply) && isStale(round, host, *asked.answer);
+        return requested.answer && isGrant(requested.answer->reply) && isStale(round, host, *requested.answer);
     }
 
-    void planNextAsk(const ClaimRound& round, AskedKeeper& asked, base::Time now, uint64_t random)
+    void scheduleResend(const ClaimRound& round, RequestedKeeper& requested, base::Time now, uint64_t random)
     {
-        const bool contended = asked.answer && asked.answer->reply == ClaimReply::Held;
+        const bool contended = requested.answer && requested.answer->reply == ClaimReply::Held;
         if (contended) {
-            const auto spread = static_cast<int64_t>(random % static_cast<uint64_t>(round.settings.contend.ms + 1));
-            asked.askAgainAt = now + round.settings.contend + base::Duration { spread };
+            const auto spread = static_cast<int64_t>(random % static_cast<uint64_t>(round.settings.contentionDelay.ms + 1));
+            requested.resendAt = now + round.settings.contentionDelay + base::Duration { spread };
             return;
         }
-        asked.askAgainAt = now + asked.pause;
-        asked.pause = asked.pause * 2;
+        requested.resendAt = now + requested.resendDelay;
+        requested.resendDelay = requested.resendDelay * 2;
     }
 
-    void sendAsks(ClaimRound& round, base::Time now, uint64_t random, std::vector<OutgoingClaimMessage>& out)
+    void sendRequests(ClaimRound& round, base::Time now, uint64_t random, std::vector<OutgoingClaimMessage>& out)
     {
-        for (auto& [host, asked] : round.asked) {
-            if (asked.askAgainAt > now || !(mayChange(round, asked) || isStaleGrant(round, host, asked)))
+        for (auto& [host, requested] : round.requested) {
+            if (requested.resendAt > now || !(mayChange(round, requested) || isStaleGrant(round, host, requested)))
                 continue;
             out.push_back({ host, ClaimRequest { round.number, round.key, round.digest, round.attempt, round.runWithin } });
-            planNextAsk(round, asked, now, random);
+            scheduleResend(round, requested, now, random);
         }
     }
 
-    // Whether the ending is a finish, a release, or nothing that keepers need to hear.
-    std::optional<ClaimMessage> endingOf(const ClaimRound& round, base::Time now)
+    // The end message: a finish, a release, or none if the keepers need none.
+    std::optional<ClaimMessage> endMessageOf(const ClaimRound& round, base::Time now)
     {
         if (round.decision == ClaimDecision::Pending)
             return std::nullopt;
@@ -205,25 +205,25 @@
         return std::nullopt;
     }
 
-    void sendEnding(ClaimRound& round, const ClaimMessage& ending, base::Time now, std::vector<OutgoingClaimMessage>& out)
+    void sendEndMessage(ClaimRound& round, const ClaimMessage& endMessage, base::Time now, std::vector<OutgoingClaimMessage>& out)
     {
-        if (now - round.endedAt >= round.settings.finishLimit)
+        if (now - round.endedAt >= round.settings.endResendTimeout)
             return;
-        for (auto& [host, asked] : round.asked) {
-            if (asked.noted || asked.askAgainAt > now)
+        for (auto& [host, requested] : round.requested) {
+            if (requested.acknowledged || requested.resendAt > now)
                 continue;
-            out.push_back({ host, ending });
-            asked.askAgainAt = now + asked.pause;
-            asked.pause = asked.pause * 2;
+            out.push_back({ host, endMessage });
+            requested.resendAt = now + requested.resendDelay;
+            requested.resendDelay = requested.resendDelay * 2;
         }
     }
 
-    void beginEnding(ClaimRound& round, base::Time now)
+    void startEndMessages(ClaimRound& round, base::Time now)
     {
         round.endedAt = now;
-        for (auto& [host, asked] : round.asked) {
-            asked.askAgainAt = now;
-            asked.pause = round.settings.reask;
+        for (auto& [host, requested] : round.requested) {
+            requested.resendAt = now;
+            requested.resendDelay = round.settings.initialResendDelay;
         }
     }
 
@@ -238,13 +238,13 @@
     round.key = key;
     round.digest = digest;
     round.attempt = attempt;
-    round.runWithin = std::min(runWithin, settings.mostRun);
+    round.runWithin = std::min(runWithin, settings.maxRun);
     round.settings = settings;
     round.startedAt = now;
     for (const base::HostId& host : round.keepers.all())
-        round.asked[host] = { std::nullopt, now, settings.reask, false };
-    if (round.asked.empty())
-        decide(round, ClaimDecision::OutcomeUnknown, base::Code::OutcomeUnknown, "no keepers of claims are known here", now);
+        round.requested[host] = { std::nullopt, now, settings.initialResendDelay, false };
+    if (round.requested.empty())
+        decide(round, ClaimDecision::OutcomeUnknown, base::Code::OutcomeUnknown, "this node knows no keepers of claims", now);
     return round;
 }
 
@@ -252,23 +252,23 @@
 {
     std::vector<OutgoingClaimMessage> out;
     if (round.decision == ClaimDecision::Pending)
-        sendAsks(round, now, random, out);
-    else if (const std::optional<ClaimMessage> ending = endingOf(round, now))
-        sendEnding(round, *ending, now, out);
+        sendRequests(round, now, random, out);
+    else if (const std::optional<ClaimMessage> endMessage = endMessageOf(round, now))
+        sendEndMessage(round, *endMessage, now, out);
     return out;
 }
 
 std::optional<base::Time> nextSendAt(const ClaimRound& round)
 {
     const bool pending = round.decision == ClaimDecision::Pending;
-    if (!pending && !endingOf(round, {}))
+    if (!pending && !endMessageOf(round, {}))
         return std::nullopt;
-    const base::Time last = pending ? round.startedAt + round.settings.limit : round.endedAt + round.settings.finishLimit;
+    const base::Time last = pending ? round.startedAt + round.settings.timeout : round.endedAt + round.settings.endResendTimeout;
     std::optional<base::Time> next;
-    for (const auto& [host, asked] : round.asked) {
-        const bool open = pending ? mayChange(round, asked) || isStaleGrant(round, host, asked) : !asked.noted;
+    for (const auto& [host, requested] : round.requested) {
+        const bool open = pending ? mayChange(round, requested) || isStaleGrant(round, host, requested) : !requested.acknowledged;
         if (open)
-            next = next ? std::min(*next, asked.askAgainAt) : asked.askAgainAt;
+            next = next ? std::min(*next, requested.resendAt) : requested.resendAt;
     }
     if (pending)
         return next ? std::min(*next, last) : last;
@@ -277,55 +277,56 @@
 
 void onClaimAnswer(ClaimRound& round, const base::HostId& from, const ClaimAnswer& answer, base::Time now)
 {
-    const auto found = round.asked.find(from);
-    if (found == round.asked.end() || answer.key != round.key || answer.attempt != round.attempt)
+    const auto found = round.requested.find(from);
+    if (found == round.requested.end() || answer.key != round.key || answer.attempt != round.attempt)
         return;
     if (round.decision != ClaimDecision::Pending)
         return;
-    // Past the limit nothing counts, even if the process was stopped and the answers were waiting in its sockets.
+    // After the timeout no answer counts, even if the process was suspended and the answers were waiting in its
+    // sockets.
     onRoundTick(round, now);
-    if (round.decision != ClaimDecision::Pending || !counts(found->second, answer))
+    if (round.decision != ClaimDecision::Pending || !supersedes(found->second, answer))
         return;
     found->second.answer = answer;
     if (answer.reply == ClaimReply::Held)
-        found->second.askAgainAt = now + round.settings.contend;
+        found->second.resendAt = now + round.settings.contentionDelay;
     if (!decidedByRecord(round, answer, now))
         decideByCount(round, now);
     if (round.decision != ClaimDecision::Pending)
-        beginEnding(round, now);
+        startEndMessages(round, now);
 }
 
-void onClaimAck(ClaimRound& round, const base::HostId& from, const ClaimAck& noted)
+void onClaimAck(ClaimRound& round, const base::HostId& from, const ClaimAck& ack)
 {
-    const auto found = round.asked.find(from);
-    if (found != round.asked.end() && noted.key == round.key && noted.attempt == round.attempt && endingOf(round, {}))
-        found->second.noted = true;
+    const auto found = round.requested.find(from);
+    if (found != round.requested.end() && ack.key == round.key && ack.attempt == round.attempt && endMessageOf(round, {}))
+        found->second.acknowledged = true;
 }
 
 void onRoundTick(ClaimRound& round, base::Time now)
 {
-    if (round.decision != ClaimDecision::Pending || now - round.startedAt < round.settings.limit)
+    if (round.decision != ClaimDecision::Pending || now - round.startedAt < round.settings.timeout)
         return;
     const std::vector<GroupCount> groups = countGroups(round);
     const bool held = inAny(groups, [](const GroupCount& it) { return it.held + it.reused > 0; });
     if (held)
-        decide(round, ClaimDecision::OutcomeUnknown, base::Code::ClaimHeld, "another attempt of the key holds part of its claim", now);
+        decide(round, ClaimDecision::OutcomeUnknown, base::Code::ClaimHeld, "another attempt with the key holds part of its claim", now);
     else
         decide(round, ClaimDecision::OutcomeUnknown, base::Code::OutcomeUnknown, "no majority of the key's keepers answered", now);
-    beginEnding(round, now);
+    startEndMessages(round, now);
 }
 
 void endRun(ClaimRound& round, ClaimEnd end, std::optional<ClaimOutcome> outcome, base::Time now)
 {
     if (round.decision != ClaimDecision::Run || round.end)
         return;
-    // A finish without its outcome would leave resends with nothing to repeat. One past its time may come after the key's
-    // claim has run out, and would be kept as the answer of a later run.
+    // A finish without its outcome would leave resends without an answer. A late one may arrive after the key's claim
+    // has expired, and would be stored as the answer of a later run.
     const bool late = now - round.startedAt > round.runWithin;
     round.end = end == ClaimEnd::Finished && (!outcome || late) ? ClaimEnd::Unknown : end;
     if (round.end == ClaimEnd::Finished)
         round.outcome = std::move(outcome);
-    beginEnding(round, now);
+    startEndMessages(round, now);
 }
 
 } // namespace appletally::policy
--- a/src/appletally/policy/evidence_totals.cpp
+++ b/src/appletally/policy/evidence_totals.cpp
@@ -58,20 +58,20 @@
     return out;
 }
 
-void mergeEvidence(EvidenceTotals& book, const config::Evidence& it)
+void mergeEvidence(EvidenceTotals& totals, const config::Evidence& it)
 {
-    keepLargest(book.tallies[{ it.host, it.route, it.version }][it.incarnation], tallyOf(it));
+    keepLargest(totals.tallies[{ it.host, it.route, it.version }][it.incarnation], tallyOf(it));
     if (it.answers + it.coldAnswers > 0)
-        book.hosts[it.version].insert(it.host);
+        totals.hosts[it.version].insert(it.host);
     if (it.stoppedHere)
-        book.stopped[it.version].insert(it.host);
+        totals.stopped[it.version].insert(it.host);
 }
 
-Tally totalOf(const EvidenceTotals& book, const EvidenceKey& key)
+Tally totalOf(const EvidenceTotals& totals, const EvidenceKey& key)
 {
     Tally out;
-    const auto found = book.tallies.find(key);
-    if (found == book.tallies.end())
+    const auto found = totals.tallies.find(key);
+    if (found == totals.tallies.end())
         return out;
     for (const auto& [incarnation, tally] : found->second)
         out += tally;
--- a/src/appletally/policy/evidence_totals.h
+++ b/src/appletally/policy/evidence_totals.h
@@ -1,7 +1,9 @@
-// Cumulative evidence of all hosts, merged so that lost, late, doubled and crossed reports do no harm.
+// Cumulative evidence of all hosts, merged so that lost, late, duplicated and reordered reports have no effect on the
+// totals.
 //
-// Each report carries counters that only grow within one incarnation of the node that writes it. The book keeps the
-// largest of each and adds incarnations up, so that a restarted node's earlier answers stay counted.
+// Each report carries counters that only grow within one incarnation of the node that sends it. The largest value of
+// each counter is kept per incarnation and summed over incarnations, so that answers from before a node's restart stay
+// counted.
 #pragma once
 
 #include "appletally/config/evidence.h"
@@ -15,17 +17,17 @@
 
 namespace appletally::policy {
 
-// Counters without their keys; sums and differences of them are counters again.
+// Counters without their keys. Sums and differences of them are counters again.
 struct Tally {
     uint64_t answers = 0;
     uint64_t failures = 0;
-    std::array<uint64_t, config::latencyBins> quiet {}; // latency with free slots
-    std::array<uint64_t, config::latencyBins> busy {}; // with three quarters of the slots taken or more
+    std::array<uint64_t, config::latencyBins> quiet {}; // latency with slots free
+    std::array<uint64_t, config::latencyBins> busy {}; // latency with three quarters of the slots taken or more
     uint64_t coldAnswers = 0;
     uint64_t coldFailures = 0;
 };
 Tally& operator+=(Tally&, const Tally&);
-Tally operator-(const Tally&, const Tally&); // counters of the second are never larger than the first's
+Tally operator-(const Tally&, const Tally&); // the second operand's counters must not exceed the first's
 
 struct EvidenceKey {
     base::HostId host;
@@ -36,8 +38,8 @@
 
 struct EvidenceTotals {
     std::map<EvidenceKey, std::map<base::Incarnation, Tally>> tallies;
-    std::map<base::UpstreamVersion, std::set<base::HostId>> stopped; // hosts that stopped a version by themselves
-    std::map<base::UpstreamVersion, std::set<base::HostId>> hosts; // hosts that answered anything with a version
+    std::map<base::UpstreamVersion, std::set<base::HostId>> stopped; // hosts that stopped a version locally
+    std::map<base::UpstreamVersion, std::set<base::HostId>> hosts; // hosts with at least one answer of a version
 };
 
 void mergeEvidence(EvidenceTotals&, const config::Evidence&);
--- a/src/appletally/policy/keepers.cpp
+++ b/src/appletally/policy/keepers.cpp
@@ -40,10 +40,10 @@
     ranked.reserve(members.size());
     for (const config::Keeper& it : members)
         ranked.emplace_back(weight(it.host, keyHash), it.host);
-    std::sort(ranked.begin(), ranked.end(), std::greater<> {}); // equal weights: by host, the same everywhere
+    std::sort(ranked.begin(), ranked.end(), std::greater<> {}); // equal weights: by host, so that all nodes select the same
     std::vector<base::HostId> chosen;
     for (auto& [hash, host] : ranked) {
-        if (chosen.size() == keepersOfKey)
+        if (chosen.size() == keepersPerKey)
             break;
         chosen.push_back(std::move(host));
     }
@@ -67,15 +67,16 @@
 
 bool mayEndChange(const SetChange& change, base::Duration claimLife, base::Time now)
 {
-    size_t late = 0;
+    size_t notReady = 0;
     for (const config::Keeper& it : change.set.previous) {
         const auto found = change.appliedSince.find(it.host);
-        const bool settled = found != change.appliedSince.end() && now - found->second >= claimLife;
-        late += settled ? 0 : 1;
+        const bool ready = found != change.appliedSince.end() && now - found->second >= claimLife;
+        notReady += ready ? 0 : 1;
     }
-    // With one or two keepers per key, a single late host could still be a majority of what is left.
-    const size_t mostLate = change.set.previous.size() >= keepersOfKey ? 1 : 0;
-    return late <= mostLate;
+    // With one or two keepers per key, a single host that has not applied the set could still be a majority of the
+    // rest.
+    const size_t maxNotReady = change.set.previous.size() >= keepersPerKey ? 1 : 0;
+    return notReady <= maxNotReady;
 }
 
 } // namespace appletally::policy
--- a/src/appletally/policy/local_version_monitor.cpp
+++ b/src/appletally/policy/local_version_monitor.cpp
@@ -1,4 +1,4 @@
-// Counts answers into evidence and runs the gross tests per route.
+// Counts answers as evidence and tests each route for gross regressions.
 #include "appletally/policy/local_version_monitor.h"
 #include "appletally/policy/latency_bins.h"
 
@@ -8,39 +8,42 @@
 
 namespace {
 
-    // An upstream is cold for its first answers and seconds, whichever end first. Filling caches and pools takes some
-    // answers; an idle one is warm by time.
-    constexpr uint64_t warmUpAnswers = 20;
-    constexpr base::Duration warmUp { 5000 };
-    // Over a version's whole life at this node: one that crashes and starts again and again would be cold forever.
-    constexpr uint64_t mostWarmUps = 2;
-    // Failures while cold that nobody has to wait out: a healthy start fails one answer in five or so, not three in four.
-    constexpr uint64_t mostColdFailures = 6;
+    // An upstream is cold for its first answers or seconds, whichever end first. Filling caches and pools takes some
+    // answers; an idle upstream is warm after this time.
+    constexpr uint64_t coldStartAnswers = 20;
+    constexpr base::Duration coldStartDuration { 5000 };
+    // Over a version's whole life at this node. Without the limit, a version that crashes again and again would stay
+    // cold forever.
+    constexpr uint64_t maxColdStarts = 2;
+    // Failures during cold start after which the version may be stopped. A healthy start fails about one answer in
+    // five, not three in four.
+    constexpr uint64_t maxColdFailures = 6;
 
     constexpr double stopScore = 9; // three failures in a row against a healthy baseline
-    constexpr double leastRate = 0.02; // no baseline is trusted to be better than this
-    // Where no caller tells how the old version does: only near-total failure counts, about nineteen failures in a row on a
-    // route. At 0.3 (eight in a row) an outage that failed four answers in five of both versions stopped good ones.
-    constexpr double unknownRate = 0.6;
-    constexpr double grossFailures = 0.4; // beyond the baseline
-    constexpr double grossFactor = 2; // times the accepted latency
-    constexpr double slowSlack = 0.3; // share of answers beyond that limit which may still be chance or a neighbour
+    constexpr double minBaselineRate = 0.02; // a lower failure rate of a baseline is not relied on
+    // Assumed rate where no caller reports how the old version does. Only near-total failure counts, about nineteen
+    // failures in a row on a route. At 0.3 (eight in a row) an outage that failed four answers in five of both versions
+    // stopped good ones.
+    constexpr double rateWithoutBaseline = 0.6;
+    constexpr double grossFailures = 0.4; // failure rate above the baseline
+    constexpr double grossFactor = 2; // multiple of the accepted latency
+    constexpr double slowSlack = 0.3; // share of answers beyond that limit which may still be chance or a noisy neighbour
     constexpr double slowBadness = 0.8;
 
     bool isCold(const LocalVersionMonitor& it, base::Time now)
     {
-        return it.answersSinceReady < warmUpAnswers && now - it.readyAt < warmUp && it.warmUps <= mostWarmUps;
+        return it.answersSinceReady < coldStartAnswers && now - it.readyAt < coldStartDuration && it.coldStarts <= maxColdStarts;
     }
 
-    void stop(LocalVersionMonitor& verdict, std::string reason)
+    void stop(LocalVersionMonitor& monitor, std::string reason)
     {
-        verdict.stopped = true;
-        verdict.reason = std::move(reason);
+        monitor.stopped = true;
+        monitor.reason = std::move(reason);
     }
 
     void testFailures(LocalRoute& route, const LocalAnswer& answer)
     {
-        const double rate = answer.old ? std::max(answer.old->failureRate, leastRate) : unknownRate;
+        const double rate = answer.old ? std::max(answer.old->failureRate, minBaselineRate) : rateWithoutBaseline;
         addRatios(route.failing, ratiosOf(alternativesFor(rate, 0, grossFailures), answer.failed ? 1 : 0, 1));
     }
 
@@ -62,29 +65,30 @@
         evidence.busyLatency[bin] += answer.busy ? 1 : 0;
     }
 
-    // What both versions call may be down just while the new one starts. Its failures are then no sign of a bad version,
-    // and taken for one they take back a good one within a second.
-    constexpr double othersFailToo = 0.25;
+    // Failure rate of the old version from which failures during cold start count as shared. A dependency of both
+    // versions may be down just while the new one starts; without this, its failures rolled back a good version within
+    // a second.
+    constexpr double sharedFailureRate = 0.25;
 
-    void countCold(LocalVersionMonitor& verdict, config::Evidence& evidence, const LocalAnswer& answer)
+    void countCold(LocalVersionMonitor& monitor, config::Evidence& evidence, const LocalAnswer& answer)
     {
-        const bool shared = answer.old && answer.old->failureRate >= othersFailToo;
+        const bool shared = answer.old && answer.old->failureRate >= sharedFailureRate;
         const bool failed = answer.failed && !shared;
         ++evidence.coldAnswers;
-        ++verdict.coldAnswers;
+        ++monitor.coldAnswers;
         evidence.coldFailures += failed ? 1 : 0;
-        verdict.coldFailures += failed ? 1 : 0;
+        monitor.coldFailures += failed ? 1 : 0;
     }
 
-    LocalRoute& routeOf(LocalVersionMonitor& verdict, const base::RouteName& name)
+    LocalRoute& routeOf(LocalVersionMonitor& monitor, const base::RouteName& name)
     {
-        const auto [it, added] = verdict.routes.try_emplace(name);
+        const auto [it, added] = monitor.routes.try_emplace(name);
         if (added) {
-            it->second.evidence.host = verdict.host;
-            it->second.evidence.incarnation = verdict.incarnation;
-            it->second.evidence.service = verdict.service;
+            it->second.evidence.host = monitor.host;
+            it->second.evidence.incarnation = monitor.incarnation;
+            it->second.evidence.service = monitor.service;
             it->second.evidence.route = name;
-            it->second.evidence.version = verdict.version;
+            it->second.evidence.version = monitor.version;
         }
         return it->second;
     }
@@ -102,62 +106,62 @@
     return out;
 }
 
-void onUpstreamReady(LocalVersionMonitor& verdict, base::Time now)
+void onUpstreamReady(LocalVersionMonitor& monitor, base::Time now)
 {
-    verdict.readyAt = now;
-    verdict.answersSinceReady = 0;
-    ++verdict.warmUps;
+    monitor.readyAt = now;
+    monitor.answersSinceReady = 0;
+    ++monitor.coldStarts;
 }
 
-void onSnapshot(LocalVersionMonitor& verdict, const config::Snapshot& snapshot)
+void onSnapshot(LocalVersionMonitor& monitor, const config::Snapshot& snapshot)
 {
     const auto found = std::find_if(snapshot.rollouts.begin(), snapshot.rollouts.end(), [&](const auto& it) {
-        return it.second.service == verdict.service && it.second.to == verdict.version;
+        return it.second.service == monitor.service && it.second.to == monitor.version;
     });
-    verdict.monitored = found != snapshot.rollouts.end();
-    if (verdict.monitored) {
-        verdict.bad = found->second.bad;
+    monitor.monitored = found != snapshot.rollouts.end();
+    if (monitor.monitored) {
+        monitor.bad = found->second.bad;
         return;
     }
-    verdict.stopped = false;
-    verdict.reason.clear();
-    for (auto& [name, route] : verdict.routes) {
+    monitor.stopped = false;
+    monitor.reason.clear();
+    for (auto& [name, route] : monitor.routes) {
         route.failing = {};
         route.slow = {};
     }
 }
 
-void onLocalAnswer(LocalVersionMonitor& verdict, const LocalAnswer& answer, base::Time now)
+void onLocalAnswer(LocalVersionMonitor& monitor, const LocalAnswer& answer, base::Time now)
 {
-    LocalRoute& route = routeOf(verdict, answer.route);
-    const bool cold = isCold(verdict, now);
-    ++verdict.answersSinceReady;
+    LocalRoute& route = routeOf(monitor, answer.route);
+    const bool cold = isCold(monitor, now);
+    ++monitor.answersSinceReady;
     if (cold) {
-        countCold(verdict, route.evidence, answer);
-        if (verdict.monitored && verdict.coldFailures >= mostColdFailures && 4 * verdict.coldFailures > 3 * verdict.coldAnswers)
-            stop(verdict, "it fails while it starts and does not get warm");
+        countCold(monitor, route.evidence, answer);
+        if (monitor.monitored && monitor.coldFailures >= maxColdFailures && 4 * monitor.coldFailures > 3 * monitor.coldAnswers)
+            stop(monitor, "fails during cold start and does not recover");
         return;
     }
     countWarm(route.evidence, answer);
-    if (!verdict.monitored || verdict.stopped)
+    if (!monitor.monitored || monitor.stopped)
         return;
     testFailures(route, answer);
-    testLatency(route, answer, verdict.bad);
+    testLatency(route, answer, monitor.bad);
     if (route.failing.score() >= stopScore)
-        stop(verdict, "it fails on " + answer.route.text);
+        stop(monitor, "failure rate too high on " + answer.route.text);
     else if (route.slow.score() >= stopScore)
-        stop(verdict, "it is far too slow on " + answer.route.text);
+        stop(monitor, "latency far too high on " + answer.route.text);
 }
 
-bool mayRun(const LocalVersionMonitor& verdict) { return !verdict.stopped; }
+bool mayRun(const LocalVersionMonitor& monitor) { return !monitor.stopped; }
 
-std::vector<config::Evidence> evidenceReports(const LocalVersionMonitor& verdict)
+std::vector<config::Evidence> evidenceReports(const LocalVersionMonitor& monitor)
 {
     std::vector<config::Evidence> out;
-    out.reserve(verdict.routes.size());
-    for (const auto& [name, route] : verdict.routes) {
+    out.reserve(monitor.routes.size());
+    for (const auto& [name, route] : monitor.routes) {
         out.push_back(route.evidence);
-        out.back().stoppedHere = verdict.stopped;
+        out.back().stoppedHere = monitor.stopped;
     }
     return out;
 }
--- a/src/appletally/policy/local_version_monitor.h
+++ b/src/appletally/policy/local_version_monitor.h
@@ -1,13 +1,14 @@
-// The owner's node counts what its upstream's version does, and stops a bad one by itself.
+// Monitors a version at the owner: the node beside an upstream counts its answers and stops a bad version locally.
 //
-// Load pattern: a version that is broken from one moment to the next. Until reports have reached control, a decision has
-// been agreed and a new configuration is in force, some hundred milliseconds pass, and much longer while control is cut
-// off; every command in that time would be lost. The node beside the upstream sees each answer first. After a few gross
-// failures it refuses further work for this version with Code::VersionTakenBack, which is truly "not run", so that the
-// caller's node sends the request to the old version. It only judges what is gross; fine differences are control's.
+// Load pattern: a version that breaks suddenly. It takes some hundred milliseconds until reports have reached control,
+// a decision is committed and a new configuration is applied, and much longer while control is unreachable; every
+// request in that time would be lost. The node beside the upstream sees each answer first. After a few gross failures
+// it rejects further requests for this version with Code::VersionTakenBack, which guarantees "not run", so that the
+// caller's node sends the request to the old version. Only gross regressions are detected here; small differences are
+// left to control.
 //
-// A dependency that fails old and new alike must not stop the new one: callers' nodes see both versions and may pass on
-// what the old one did lately (CallerBaseline). Without it the test asks for much more.
+// A failing dependency affects both versions and must not stop the new one: callers' nodes see both versions and may
+// pass on the old one's recent results (CallerBaseline). Without them the test requires much more evidence.
 #pragma once
 
 #include "appletally/base/clock.h"
@@ -23,17 +24,17 @@
 
 namespace appletally::policy {
 
-// What a caller's node lately saw of the old version on one route.
+// What a caller's node recently observed of the old version on one route.
 struct CallerBaseline {
     double failureRate = 0; // 0 to 1
-    double medianMs = 0; // run time at the upstream; 0: not known
+    double medianMs = 0; // run time at the upstream; 0: unknown
 };
 
 struct LocalAnswer {
     base::RouteName route;
-    bool failed = false; // status 5xx, cut, malformed or timed out; a refusal ("not run") is no answer
-    base::Duration run; // at the upstream, without the node's queue
-    bool busy = false; // three quarters of the slots or more were taken when it began
+    bool failed = false; // status 5xx, cut off, malformed or timed out; a rejection ("not run") is not an answer
+    base::Duration run; // run time at the upstream, without the node's queue
+    bool busy = false; // three quarters of the slots or more were taken when the run began
     std::optional<CallerBaseline> old;
 };
 
@@ -44,7 +45,7 @@
 };
 
 struct LocalVersionMonitor {
-    // The report's fixed part.
+    // Constant fields of the reports.
     base::HostId host;
     base::Incarnation incarnation; // of this node
     base::ServiceName service;
@@ -52,34 +53,34 @@
 
     std::map<base::RouteName, LocalRoute> routes;
 
-    // Warm-up of the present upstream process.
+    // Cold start of the current upstream process.
     base::Time readyAt;
     uint64_t answersSinceReady = 0;
-    uint64_t warmUps = 1; // of this version's whole life here: bounds how much may be set aside as cold
+    uint64_t coldStarts = 1; // over this version's whole life here; limits how many answers may be excluded as cold
     uint64_t coldAnswers = 0;
     uint64_t coldFailures = 0;
 
-    bool monitored = false; // a rollout under way is moving traffic to this version
+    bool monitored = false; // a running rollout is moving traffic to this version
     config::Badness bad; // of that rollout
     bool stopped = false;
-    std::string reason; // with stopped; for operators
+    std::string reason; // for operators; with `stopped`
 };
 
 LocalVersionMonitor startLocalVersionMonitor(base::HostId, base::Incarnation, base::ServiceName, base::UpstreamVersion, base::Time readyAt);
 
-// The upstream process (re)started and is ready: it is cold for a while, within a bound.
+// The upstream process (re)started and is ready. It counts as cold for a limited time.
 void onUpstreamReady(LocalVersionMonitor&, base::Time now);
 
-// A snapshot came into force. Only the new version of a rollout under way is judged: stopping a service's only version
-// would turn a partial failure into a whole one.
+// A snapshot has been applied. Only the new version of a running rollout is monitored: stopping a service's only
+// version would turn a partial failure into a complete one.
 void onSnapshot(LocalVersionMonitor&, const config::Snapshot&);
 
 void onLocalAnswer(LocalVersionMonitor&, const LocalAnswer&, base::Time now);
 
-// False: refuse at once with Code::VersionTakenBack, before the upstream gets a byte.
+// If false, reject immediately with Code::VersionTakenBack, before any byte is sent to the upstream.
 bool mayRun(const LocalVersionMonitor&);
 
-// What to report; counters only grow. Send at most every config::Pace::report, and at once after a stop.
+// The reports to send; their counters only grow. Send at most every config::Pace::report, and immediately after a stop.
 std::vector<config::Evidence> evidenceReports(const LocalVersionMonitor&);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/lost_voters.cpp
+++ b/src/appletally/policy/lost_voters.cpp
@@ -1,4 +1,4 @@
-// Silence by voter, and the one that has been silent longest.
+// Tracks silent voters and returns the one that has been silent longest.
 #include "appletally/policy/lost_voters.h"
 
 #include <algorithm>
@@ -19,11 +19,11 @@
         silent[member.id] = known == it.silentSince.end() ? now : known->second;
     }
     it.silentSince = std::move(silent);
-    if (it.silentSince.empty() || (voters <= leastVoters && !standby))
+    if (it.silentSince.empty() || (voters <= minVoters && !standby))
         return std::nullopt;
     const auto longest = std::min_element(it.silentSince.begin(), it.silentSince.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
     const bool costsNothing = standby || voters % 2 == 0;
-    if (now - longest->second < (costsNothing ? replacedAfter : lostAfter))
+    if (now - longest->second < (costsNothing ? costFreeRemovalTimeout : lostVoterTimeout))
         return std::nullopt;
     return longest->first;
 }
--- a/src/appletally/policy/reconnect.h
+++ b/src/appletally/policy/reconnect.h
@@ -1,12 +1,13 @@
-// Reconnecting after a herd has died: who may come to the source when, and how clients come back.
+// Reconnecting after an outage: when clients retry, and which of them a source admits.
 //
-// Load pattern: a rack, a zone or the source itself dies and comes back, and hundreds of nodes connect and ask for the
-// whole configuration in the same moment; the source has outages of its own in the middle of it. Without it the source
-// is asked for more than it can give, answers nobody in time, and is asked again by all of them: it stays down.
+// Load pattern: a rack, a zone or the source itself fails and returns, and hundreds of nodes connect and request the
+// whole configuration at the same moment (a thundering herd); the source may have further outages meanwhile. Without
+// this the source receives more requests than it can serve, answers none in time, gets all of them again, and stays
+// overloaded.
 //
-// Two halves. The client waits by exponential back-off with full jitter, unless the source told it when to come. The
-// source lets in as many a second as it said that it can serve, and gives each other one a place of its own in the time
-// to come. Who comes at its place is let in before those who come for the first time.
+// Two parts. The client waits by exponential back-off with full jitter, unless the source named a time to retry. The
+// source admits as many clients per second as it can serve, and reserves a separate time slot for each other one.
+// Clients that return in their slot are admitted before those that connect for the first time.
 #pragma once
 
 #include "appletally/base/clock.h"
@@ -16,32 +17,33 @@
 
 namespace appletally::policy {
 
-// A client's side: one for each source that it knows.
+// Client side: one for each known source.
 struct Backoff {
-    int failures = 0; // in a row
-    bool urgent = false; // the client has no version and serves nobody until a source answers
+    int failures = 0; // consecutive
+    bool urgent = false; // the client has no version yet and cannot serve requests until a source answers
 };
 
-// How long to wait before the next try, after a failure (nothing told) or a refusal that said "come back in N ms".
-base::Duration waitAfterFailure(Backoff&, std::optional<base::Duration> told, uint64_t random);
+// Returns how long to wait before the next attempt, after a failure or after a rejection with a time to retry.
+base::Duration waitAfterFailure(Backoff&, std::optional<base::Duration> retryAfter, uint64_t random);
 void resetBackoff(Backoff&);
 
-// The source's side. Plain state, forgotten when the source restarts; its clients then come by their own back-off, or at
-// the places that they were given before, which still bind nobody to let them in.
+// Source side. Not persistent: a restarted source has no reservations, and its clients return by their own back-off or
+// in the slots reserved before, which no longer guarantee admission.
 struct ReconnectGate {
-    int perSecond = 50; // that the source can serve; at least 1
-    int burst = 10; // that it can take at one moment; at least 1
-    double tokens = 0; // invariant: at most `burst`, so in any time t at most burst + perSecond * t are let in
-    base::Time countedTo;
-    base::Time promisedTo; // places are given out up to here
+    int perSecond = 50; // admissions that the source can serve; at least 1
+    int burst = 10; // admissions at one moment; at least 1
+    double tokens = 0; // invariant: at most `burst`, so that in any time t at most burst + perSecond * t are admitted
+    base::Time refilledAt;
+    base::Time reservedUntil; // slots up to this time are reserved
 };
 
 struct ReconnectDecision {
     bool admitted = false;
-    base::Duration retryAfter {}; // if not let in: come then, with `promised`
+    base::Duration retryAfter {}; // if not admitted: retry after this, with `hasReservation`
 };
 
-// `promised`: the client was told to come now. `random` only matters beyond the horizon of places.
+// `hasReservation`: a slot was reserved for the client at this time. `random` is used only beyond the maximum
+// reservation.
 ReconnectDecision admitReconnect(ReconnectGate&, bool hasReservation, base::Time now, uint64_t random);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/rollout.cpp
+++ b/src/appletally/policy/rollout.cpp
@@ -1,4 +1,4 @@
-// Compares stretches of new and old evidence, then decides: take back first, then the ladder.
+// Compares intervals of new and old evidence, then decides: rollback first, then the share schedule.
 #include "appletally/policy/rollout.h"
 
 #include <algorithm>
@@ -9,35 +9,39 @@
 
 namespace {
 
-    // A stretch is compared once the old version has this many answers in it, so that what hits both is seen in both.
-    constexpr double oldAnswersPerStretch = 5;
-    // Where the old version gets hardly any traffic, a stretch is compared after this time all the same: failures soon, since
-    // a history tells what to expect of them; latency later, since an overload that has just begun has no history.
-    constexpr base::Duration longestStretch { 5000 };
-    constexpr base::Duration longestLatencyStretch { 15'000 };
-    // The old version's history counts like this many of its answers beside those of the stretch.
+    // An interval is compared once the old version has this many answers in it, so that a fault of both versions shows
+    // in both.
+    constexpr double minOldAnswersPerInterval = 5;
+    // Upper limit of an interval where the old version gets little traffic. Short for failures, because the history
+    // gives an expected rate; longer for latency, because an overload that has just begun has no history.
+    constexpr base::Duration maxInterval { 5000 };
+    constexpr base::Duration maxLatencyInterval { 15'000 };
+    // Weight of the old version's history beside the answers of the interval, in answers.
     constexpr double historyWeight = 2;
-    // What the old version did lately forgets to a half over this many answers: long enough to tell 80% from 60%, short
-    // enough to follow the beginning of an outage within a second.
+    // Half-life of the recent rate, in answers of the old version: long enough to distinguish 80% from 60%, short
+    // enough to follow the start of an outage within a second.
     constexpr double recentAnswers = 30;
-    // The baseline forgets to a half over this many of the old version's answers: it follows the hour, not the blip.
+    // Half-life of the baseline, in answers of the old version: it follows the load of the hour, not short
+    // disturbances.
     constexpr double baselineAnswers = 2000;
-    // A host of the new version counts beside others when it has this many answers.
-    constexpr uint64_t answersOfCountedHost = 5;
-    // Latency is judged once the old version has this many answers at the same load.
-    constexpr double leastLatencyAnswers = 10;
-    // Stalls: this many times the accepted latency.
+    // A host of the new version is compared with other hosts once it has this many answers.
+    constexpr uint64_t minAnswersOfCountedHost = 5;
+    // Latency is tested once the old version has this many answers at the same load.
+    constexpr double minLatencyAnswers = 10;
+    // A stall takes this many times the accepted latency.
     constexpr double stallFactor = 4;
-    // Beside quiet answers of the old version, busy ones of the new may take this much longer on top.
+    // Additional factor for busy answers of the new version where only quiet ones of the old version are known.
     constexpr double unknownLoadFactor = 2;
-    // Evidence that only leans against a version holds its share back until here; the rungs that are left then still fit in.
-    constexpr double lastMoment = 0.9;
-    // Failing while cold is set aside only up to here; a version that never gets warm is bad as well.
-    constexpr uint64_t mostColdFailures = 10;
+    // Evidence below the rollback score holds the share only up to this fraction of the time; the remaining steps still
+    // fit after it.
+    constexpr double holdUntilFraction = 0.9;
+    // Failures during cold start are ignored up to this number; a version that never completes its cold start is rolled
+    // back too.
+    constexpr uint64_t maxColdFailures = 10;
 
     struct Limits {
-        double slack = 0; // share of answers beyond the baseline that is still good
-        double badness = 0; // that is bad
+        double slack = 0; // share of answers beyond the baseline that is still acceptable
+        double badness = 0; // share beyond the baseline that is a regression
     };
 
     Limits limitsOf(RegressionKind kind, const config::Badness& bad)
@@ -47,7 +51,7 @@
         case RegressionKind::Failing:
             return { failures / 5, failures };
         case RegressionKind::Slow:
-        case RegressionKind::SlowUnderLoad: // twice as slow puts half of the answers beyond twice the median
+        case RegressionKind::SlowUnderLoad: // half of the answers of a version twice as slow are beyond twice the median
             return { 0.12, 0.35 };
         case RegressionKind::Stalling:
         case RegressionKind::StallingUnderLoad:
@@ -85,10 +89,10 @@
         baseline.failures = baseline.failures * keep + static_cast<double>(old.failures);
     }
 
-    // What to expect of the new version: the worst of how the old one does over its history, lately and in this stretch.
-    // An outage or overload that hits both shows in the old one's recent answers first; a baseline that lags behind it
-    // blames the new version for the difference. Never below the history: a lucky stretch of the old version is no ground
-    // against the new one.
+    // The expected rate of the new version: the worst of the old version's history, recent rate and rate in this
+    // interval. An outage or overload of both versions shows in the recent answers of the old version first; a baseline
+    // that lags behind it would attribute the difference to the new version. Never below the history: an interval in
+    // which the old version does unusually well must not count against the new one.
     double baselineRate(RecentRate& recent, double hits, double n, double pastHits, double pastN)
     {
         const double keep = std::exp2(-n / recentAnswers);
@@ -107,39 +111,39 @@
             sum[n] += it[n];
     }
 
-    // What a stretch of the old version asks of the new one, per kind.
-    struct StretchBaseline {
-        std::array<double, regressionKinds> rates { -1, -1, -1, -1, -1 }; // expected share of hits; negative: not known
-        std::array<double, regressionKinds> limits {}; // milliseconds beyond which an answer is a hit
+    // The baseline that an interval of the old version gives, per kind.
+    struct IntervalBaseline {
+        std::array<double, regressionKinds> rates { -1, -1, -1, -1, -1 }; // expected share of hits; negative: unknown
+        std::array<double, regressionKinds> limits {}; // milliseconds; a longer answer is a hit
     };
 
-    void addLatency(StretchBaseline& out, size_t kind, RecentRate& recent, const LatencyBins& old, const LatencyBins& past, double factor)
+    void addLatency(IntervalBaseline& out, size_t kind, RecentRate& recent, const LatencyBins& old, const LatencyBins& past, double factor)
     {
         out.limits[kind] = quantileOf(past, 0.5) * factor;
         out.rates[kind] = baselineRate(recent, countAbove(old, out.limits[kind]), countOf(old), countAbove(past, out.limits[kind]), countOf(past));
     }
 
-    // A version that only has the busier hosts is not slower for that, so like is compared with like. But one that is slow
-    // enough keeps its own slots taken while the old one's are free; then there is no old evidence at the same load, and the
-    // quiet one has to do, with room for what load costs.
-    bool busyIsKnown(const Baseline& past) { return countOf(past.busy) >= leastLatencyAnswers; }
+    // Busy answers are compared with busy ones, so that a version is not rolled back for running on busier hosts. But a
+    // sufficiently slow version keeps its own slots taken while those of the old version are free. Then there is no old
+    // evidence at the same load, and quiet answers are used with an allowance for the cost of load.
+    bool busyIsKnown(const Baseline& past) { return countOf(past.busy) >= minLatencyAnswers; }
 
-    void addLatencies(StretchBaseline& out, Stream stream, RolloutRoute& route, const Tally& old, const Baseline& past, double factor)
+    void addLatencies(IntervalBaseline& out, Stream stream, RolloutRoute& route, const Tally& old, const Baseline& past, double factor)
     {
         const bool fromBusy = stream == Stream::Busy && busyIsKnown(past);
         const LatencyBins& history = fromBusy ? past.busy : past.quiet;
-        if (countOf(history) < leastLatencyAnswers)
+        if (countOf(history) < minLatencyAnswers)
             return;
-        const LatencyBins stretch = binsOf(fromBusy ? old.busy : old.quiet);
-        const double room = stream == Stream::Busy && !fromBusy ? unknownLoadFactor : 1;
+        const LatencyBins interval = binsOf(fromBusy ? old.busy : old.quiet);
+        const double allowance = stream == Stream::Busy && !fromBusy ? unknownLoadFactor : 1;
         const size_t slow = stream == Stream::Quiet ? 1 : 2;
-        addLatency(out, slow, route.recent[slow], stretch, history, factor * room);
-        addLatency(out, slow + 2, route.recent[slow + 2], stretch, history, factor * room * stallFactor);
+        addLatency(out, slow, route.recent[slow], interval, history, factor * allowance);
+        addLatency(out, slow + 2, route.recent[slow + 2], interval, history, factor * allowance * stallFactor);
     }
 
-    StretchBaseline baselineOf(Stream stream, RolloutRoute& route, const Tally& old, const Baseline& past, const config::Badness& bad)
+    IntervalBaseline baselineOf(Stream stream, RolloutRoute& route, const Tally& old, const Baseline& past, const config::Badness& bad)
     {
-        StretchBaseline out;
+        IntervalBaseline out;
         if (stream == Stream::All)
             out.rates[0] = baselineRate(route.recent[0], static_cast<double>(old.failures), static_cast<double>(old.answers), past.failures, past.answers);
         else
@@ -147,8 +151,8 @@
         return out;
     }
 
-    // Fresh answers of one host against the old version's of the same stretch; zero for kinds without a baseline here.
-    std::array<Ratios, regressionKinds> compare(const Tally& fresh, const StretchBaseline& it, const config::Badness& bad)
+    // Compares new answers of one host with the old version's in the same interval; zero for kinds without a baseline.
+    std::array<Ratios, regressionKinds> compare(const Tally& fresh, const IntervalBaseline& it, const config::Badness& bad)
     {
         std::array<Ratios, regressionKinds> out {};
         for (size_t kind = 0; kind < regressionKinds; ++kind) {
@@ -175,9 +179,9 @@
     Tally oldTotal(const RolloutState& state, const base::RouteName& route, const base::UpstreamVersion& version)
     {
         Tally sum;
-        for (const auto& [key, byIncarnation] : state.book.tallies) {
+        for (const auto& [key, byIncarnation] : state.evidence.tallies) {
             if (key.route == route && key.version == version)
-                sum += totalOf(state.book, key);
+                sum += totalOf(state.evidence, key);
         }
         return sum;
     }
@@ -188,26 +192,26 @@
             addRatios(tests[kind], ratios[kind]);
     }
 
-    void compareStretch(RolloutState& state, const base::RouteName& name, Stream stream, const config::Rollout& plan, base::WallTime now)
+    void compareInterval(RolloutState& state, const base::RouteName& name, Stream stream, const config::Rollout& plan, base::WallTime now)
     {
         RolloutRoute& route = state.routes[name];
-        Compared& compared = route.compared.at(static_cast<size_t>(stream));
+        ComparedTotals& compared = route.compared.at(static_cast<size_t>(stream));
         const Tally oldSum = oldTotal(state, name, plan.from);
         const Tally old = oldSum - compared.old;
-        const base::Duration longest = stream == Stream::All ? longestStretch : longestLatencyStretch;
-        if (answersOf(old, stream, route.baseline) < oldAnswersPerStretch && now - compared.at < longest)
+        const base::Duration longest = stream == Stream::All ? maxInterval : maxLatencyInterval;
+        if (answersOf(old, stream, route.baseline) < minOldAnswersPerInterval && now - compared.at < longest)
             return;
         const Baseline past = route.baseline;
         decayInto(route.baseline, old, stream);
         const bool begun = past.answers > 0 || stream != Stream::All;
-        const StretchBaseline expected = baselineOf(stream, route, old, begun ? past : route.baseline, plan.bad);
+        const IntervalBaseline expected = baselineOf(stream, route, old, begun ? past : route.baseline, plan.bad);
         std::array<Ratios, regressionKinds> sum {};
-        for (const auto& [key, byIncarnation] : state.book.tallies) {
+        for (const auto& [key, byIncarnation] : state.evidence.tallies) {
             if (key.route != name || key.version != plan.to)
                 continue;
-            const Tally total = totalOf(state.book, key);
-            const std::array<Ratios, regressionKinds> ratios = compare(total - compared.fresh[key.host], expected, plan.bad);
-            compared.fresh[key.host] = total;
+            const Tally total = totalOf(state.evidence, key);
+            const std::array<Ratios, regressionKinds> ratios = compare(total - compared.newByHost[key.host], expected, plan.bad);
+            compared.newByHost[key.host] = total;
             addTo(route.hostTests[key.host], ratios);
             addTo(state.allRoutesByHost[key.host], ratios);
             for (size_t kind = 0; kind < regressionKinds; ++kind)
@@ -222,14 +226,14 @@
     size_t countedHosts(const RolloutState& state, const base::UpstreamVersion& version)
     {
         std::map<base::HostId, uint64_t> answers;
-        for (const auto& [key, byIncarnation] : state.book.tallies) {
+        for (const auto& [key, byIncarnation] : state.evidence.tallies) {
             if (key.version == version)
-                answers[key.host] += totalOf(state.book, key).answers;
+                answers[key.host] += totalOf(state.evidence, key).answers;
         }
-        return static_cast<size_t>(std::count_if(answers.begin(), answers.end(), [](const auto& it) { return it.second >= answersOfCountedHost; }));
+        return static_cast<size_t>(std::count_if(answers.begin(), answers.end(), [](const auto& it) { return it.second >= minAnswersOfCountedHost; }));
     }
 
-    // What is left of a score when its worst host is set aside. A noisy neighbour makes one host slow, a bad version all.
+    // The score without its worst host. A noisy neighbour slows one host, a bad version slows all.
     double scoreWithoutWorst(const std::array<SequentialTest, regressionKinds>& tests, size_t kind,
         const std::map<base::HostId, std::array<SequentialTest, regressionKinds>>& hosts)
     {
@@ -257,29 +261,29 @@
     {
         Tally fresh;
         Tally old;
-        for (const auto& [key, byIncarnation] : state.book.tallies) {
+        for (const auto& [key, byIncarnation] : state.evidence.tallies) {
             if (where != "all routes" && key.route.text != where)
                 continue;
             if (key.version == plan.to)
-                fresh += totalOf(state.book, key);
+                fresh += totalOf(state.evidence, key);
             if (key.version == plan.from)
-                old += totalOf(state.book, key);
+                old += totalOf(state.evidence, key);
         }
         return "version " + plan.to.text + " " + nameOf(kind) + " than " + plan.from.text + " on " + where + ": "
             + percent(fresh.failures, fresh.answers) + " of " + std::to_string(fresh.answers) + " answers failed, "
             + percent(old.failures, old.answers) + " of " + std::to_string(old.answers) + " before";
     }
 
-    struct Verdict {
-        double worst = 0; // highest score found
-        std::string reason; // not empty: bad
+    struct RegressionResult {
+        double worst = 0; // highest score of all tests
+        std::string reason; // not empty: roll back
     };
 
-    Verdict judgeTests(const RolloutState& state, const config::Rollout& plan)
+    RegressionResult evaluateTests(const RolloutState& state, const config::Rollout& plan)
     {
         const bool several = countedHosts(state, plan.to) > 1;
-        Verdict out;
-        const auto judge = [&](const auto& tests, const auto& hosts, const std::string& where) {
+        RegressionResult out;
+        const auto evaluate = [&](const auto& tests, const auto& hosts, const std::string& where) {
             for (size_t kind = 0; kind < regressionKinds; ++kind) {
                 const double score = tests[kind].score();
                 out.worst = std::max(out.worst, score);
@@ -289,53 +293,55 @@
             }
         };
         for (const auto& [name, route] : state.routes)
-            judge(route.tests, route.hostTests, name.text);
-        judge(state.allRoutes, state.allRoutesByHost, "all routes");
+            evaluate(route.tests, route.hostTests, name.text);
+        evaluate(state.allRoutes, state.allRoutesByHost, "all routes");
         return out;
     }
 
-    // More than half of the hosts that run it have stopped it by themselves.
+    // Whether more than half of the hosts that run the version have stopped it locally.
     bool stoppedByHosts(const RolloutState& state, const base::UpstreamVersion& version)
     {
-        const auto stopped = state.book.stopped.find(version);
-        const auto hosts = state.book.hosts.find(version);
-        if (stopped == state.book.stopped.end())
+        const auto stopped = state.evidence.stopped.find(version);
+        const auto hosts = state.evidence.hosts.find(version);
+        if (stopped == state.evidence.stopped.end())
             return false;
-        const size_t all = hosts == state.book.hosts.end() ? 0 : hosts->second.size();
+        const size_t all = hosts == state.evidence.hosts.end() ? 0 : hosts->second.size();
         return 2 * stopped->second.size() > all;
     }
 
-    bool failsWhileCold(const RolloutState& state, const base::UpstreamVersion& version)
+    bool failsDuringColdStart(const RolloutState& state, const base::UpstreamVersion& version)
     {
         Tally sum;
-        for (const auto& [key, byIncarnation] : state.book.tallies) {
+        for (const auto& [key, byIncarnation] : state.evidence.tallies) {
             if (key.version == version)
-                sum += totalOf(state.book, key);
+                sum += totalOf(state.evidence, key);
         }
-        return sum.coldFailures >= mostColdFailures && 2 * sum.coldFailures > sum.coldAnswers;
+        return sum.coldFailures >= maxColdFailures && 2 * sum.coldFailures > sum.coldAnswers;
     }
 
-    bool proven(const RolloutState& state, const base::UpstreamVersion& version)
+    bool hasEnoughAnswers(const RolloutState& state, const base::UpstreamVersion& version)
     {
         std::map<base::RouteName, uint64_t> answers;
-        for (const auto& [key, byIncarnation] : state.book.tallies) {
+        for (const auto& [key, byIncarnation] : state.evidence.tallies) {
             if (key.version == version)
-                answers[key.route] += totalOf(state.book, key).answers;
+                answers[key.route] += totalOf(state.evidence, key).answers;
         }
         return !answers.empty() && std::all_of(answers.begin(), answers.end(), [&](const auto& it) { return it.second >= state.settings.minAnswersToRaise; });
     }
 
-    // A completed rollout lets operators stop the old version at once. What it was given before the last step has ended by
-    // then, and the step has reached every node; completed with the last step, a third of the traffic was cut.
-    constexpr base::Duration lastRunsEnd { 1500 };
+    // Completing a rollout allows operators to stop the old version at once. By then, requests sent to the old version
+    // before the last step have ended, and the step is applied at every node; when completion came with the last step,
+    // a third of the traffic was cut off.
+    constexpr base::Duration drainTime { 1500 };
 
-    // From the end of the last runs to what whoever asked sees as completed: the commit of it (50 ms on a thirteenth of a core,
-    // 300 ms with a new leader) and the way of the first request, which is older than the moment from which we count.
+    // Time from the end of the last requests at the old version until the operator sees the rollout as completed: the
+    // commit (50 ms on a thirteenth of a core, 300 ms with a new leader) and the transfer of the operator's first
+    // request, which was sent before the schedule starts to count.
     constexpr base::Duration completionMargin { 750 };
 
     RolloutDecision keep(const config::Rollout& plan, std::string reason) { return { RolloutAction::Keep, plan.share, std::move(reason) }; }
 
-    const RolloutShareStep* nextRung(const RolloutState& state, const config::Rollout& plan)
+    const RolloutShareStep* nextShareStep(const RolloutState& state, const config::Rollout& plan)
     {
         for (const RolloutShareStep& it : state.settings.steps) {
             if (it.share > plan.share)
@@ -350,70 +356,72 @@
         return { state.startedAt.ms + static_cast<int64_t>(whole * fraction) };
     }
 
-    // When a rung is due also without proof. In a rollout of seconds its fraction of the time is too late: each share is held
-    // for `leastDwell`, so four of them and the end took 14.1 s at least and a good version asked for within 15 s came late.
-    // Counted back from the end, the shares below the whole stay as small as long as can be.
-    base::WallTime latestFor(const RolloutState& state, const config::Rollout& plan, const RolloutShareStep* rung)
+    // When a step is due even without sufficient evidence. In a rollout of seconds a fraction of the time is too late:
+    // each share is held for `minStepDuration`, so four steps and the completion took at least 14.1 s, and a good
+    // version requested within 15 s was late. Counting back from the end keeps the partial shares small for as long as
+    // possible.
+    base::WallTime latestFor(const RolloutState& state, const config::Rollout& plan, const RolloutShareStep* step)
     {
-        base::WallTime latest = plan.completeBy + (lastRunsEnd + completionMargin) * -1;
+        base::WallTime latest = plan.completeBy + (drainTime + completionMargin) * -1;
         for (const RolloutShareStep* it = &state.settings.steps.back();; --it) {
             latest = std::min(latest, at(state, plan, it->latest));
-            if (it == rung)
+            if (it == step)
                 return latest;
             latest = latest + state.settings.minStepDuration * -1;
         }
     }
 
-    // Upstreams that restart are away for about as long, and a new leader hears of all within it.
-    constexpr base::Duration lackingIsFinal { 3000 };
+    // A restart of upstreams takes about this long, and a new leader learns of all upstreams within it.
+    constexpr base::Duration insufficientUpstreamsTimeout { 3000 };
 
-    // Operators may stop the old upstreams once the rollout has completed.
-    bool carryAll(const VersionUpstreams& it) { return it.to > 0 && 2 * it.to >= it.from; }
+    // Operators may stop the old upstreams once the rollout has completed, so the new ones must be able to serve all
+    // traffic.
+    bool canServeAll(const VersionUpstreams& it) { return it.to > 0 && 2 * it.to >= it.from; }
 
     std::string describe(const VersionUpstreams& it, const config::Rollout& plan)
     {
         return std::to_string(it.to) + " upstreams of version " + plan.to.text + " are ready beside " + std::to_string(it.from) + " of " + plan.from.text;
     }
 
-    // Whether the time is up and the new version's upstreams have been too few for a while. Without any of the old version
-    // control has not heard of the upstreams yet, or there is nothing to go back to.
-    bool lacksUpstreams(RolloutState& state, const config::Rollout& plan, const VersionUpstreams& upstreams, base::WallTime now)
+    // Whether the completion time has passed and the new version has had too few upstreams for a while. Without
+    // upstreams of the old version, control has not yet learned of the upstreams or there is nothing to roll back to.
+    bool hasInsufficientUpstreams(RolloutState& state, const config::Rollout& plan, const VersionUpstreams& upstreams, base::WallTime now)
     {
-        if (carryAll(upstreams) || upstreams.from == 0) {
-            state.lackingSince.reset();
+        if (canServeAll(upstreams) || upstreams.from == 0) {
+            state.insufficientSince.reset();
             return false;
         }
-        if (!state.lackingSince)
-            state.lackingSince = now;
-        return now >= plan.completeBy && now - *state.lackingSince >= lackingIsFinal;
+        if (!state.insufficientSince)
+            state.insufficientSince = now;
+        return now >= plan.completeBy && now - *state.insufficientSince >= insufficientUpstreamsTimeout;
     }
 
-    RolloutDecision climb(RolloutState& state, const config::Rollout& plan, const VersionUpstreams& upstreams, double worst, base::WallTime now)
+    RolloutDecision advanceShare(RolloutState& state, const config::Rollout& plan, const VersionUpstreams& upstreams, double worst, base::WallTime now)
     {
-        const RolloutShareStep* rung = nextRung(state, plan);
-        const bool toAll = !rung || rung == &state.settings.steps.back();
-        if (upstreams.to == 0 || (toAll && !carryAll(upstreams)))
+        const RolloutShareStep* step = nextShareStep(state, plan);
+        const bool toAll = !step || step == &state.settings.steps.back();
+        if (upstreams.to == 0 || (toAll && !canServeAll(upstreams)))
             return keep(plan, describe(upstreams, plan));
-        if (!rung) {
-            if (now - state.lastRaise < lastRunsEnd)
-                return keep(plan, "requests still run at the old version");
+        if (!step) {
+            if (now - state.lastRaise < drainTime)
+                return keep(plan, "waiting until requests at the old version have ended");
             return { RolloutAction::Complete, { 1000 }, "all traffic has moved" };
         }
-        const bool trial = rung == &state.settings.steps.front();
+        const bool trial = step == &state.settings.steps.front();
         if (!trial && now - state.lastRaise < state.settings.minStepDuration)
-            return keep(plan, "waiting for reports at the present share");
-        if (now < at(state, plan, rung->earliest))
-            return keep(plan, "too early for the next share");
-        const bool due = now >= latestFor(state, plan, rung);
-        if (worst >= state.settings.holdScore && now < at(state, plan, lastMoment))
-            return keep(plan, "the evidence leans against the version, though not far enough to take it back");
-        if (!trial && !due && !proven(state, plan.to))
-            return keep(plan, "too few answers yet to raise the share ahead of the schedule");
+            return keep(plan, "waiting for reports at the current share");
+        if (now < at(state, plan, step->earliest))
+            return keep(plan, "the next step is not due yet");
+        const bool due = now >= latestFor(state, plan, step);
+        if (worst >= state.settings.holdScore && now < at(state, plan, holdUntilFraction))
+            return keep(plan, "the evidence points against the version, but does not suffice for a rollback");
+        if (!trial && !due && !hasEnoughAnswers(state, plan.to))
+            return keep(plan, "too few answers to raise the share ahead of schedule");
         state.lastRaise = now;
-        base::PerMille share = rung->share;
+        base::PerMille share = step->share;
         if (trial)
             share = std::min(share, std::max(plan.mostTrialShare, base::PerMille { 1 }));
-        return { RolloutAction::Raise, share, due ? "the schedule asks for it and nothing speaks against it" : "proven on every route" };
+        return { RolloutAction::Raise, share, due ? "the step is due and the evidence does not point against the version" : "sufficient evidence on every route" };
     }
 
 } // namespace
@@ -443,7 +451,7 @@
 
 void onEvidence(RolloutState& state, const config::Evidence& evidence)
 {
-    mergeEvidence(state.book, evidence);
+    mergeEvidence(state.evidence, evidence);
     state.routes[evidence.route];
 }
 
@@ -453,25 +461,25 @@
         return *state.final;
     for (const auto& [name, route] : state.routes) {
         for (Stream stream : { Stream::All, Stream::Quiet, Stream::Busy })
-            compareStretch(state, name, stream, plan, now);
-    }
-    Verdict verdict = judgeTests(state, plan);
-    if (verdict.reason.empty() && stoppedByHosts(state, plan.to))
-        verdict.reason = "most hosts of version " + plan.to.text + " stopped it by their own evidence";
-    if (verdict.reason.empty() && failsWhileCold(state, plan.to))
-        verdict.reason = "version " + plan.to.text + " fails while it starts and does not get warm";
-    if (verdict.reason.empty() && lacksUpstreams(state, plan, upstreams, now))
-        verdict.reason = "the time is up and " + describe(upstreams, plan);
-    if (!verdict.reason.empty()) {
-        state.final = RolloutDecision { RolloutAction::RollBack, { 0 }, verdict.reason };
+            compareInterval(state, name, stream, plan, now);
+    }
+    RegressionResult result = evaluateTests(state, plan);
+    if (result.reason.empty() && stoppedByHosts(state, plan.to))
+        result.reason = "most hosts of version " + plan.to.text + " stopped it locally";
+    if (result.reason.empty() && failsDuringColdStart(state, plan.to))
+        result.reason = "version " + plan.to.text + " fails during cold start and does not recover";
+    if (result.reason.empty() && hasInsufficientUpstreams(state, plan, upstreams, now))
+        result.reason = "the completion time has passed and " + describe(upstreams, plan);
+    if (!result.reason.empty()) {
+        state.final = RolloutDecision { RolloutAction::RollBack, { 0 }, result.reason };
         return *state.final;
     }
     if (!controlReachable)
-        return keep(plan, "control is not reachable, so the share stays");
-    RolloutDecision step = climb(state, plan, upstreams, verdict.worst, now);
-    if (step.action == RolloutAction::Complete)
-        state.final = step;
-    return step;
+        return keep(plan, "control is not reachable, so the share is not changed");
+    RolloutDecision decision = advanceShare(state, plan, upstreams, result.worst, now);
+    if (decision.action == RolloutAction::Complete)
+        state.final = decision;
+    return decision;
 }
 
 } // namespace appletally::policy
--- a/src/appletally/policy/rollout.h
+++ b/src/appletally/policy/rollout.h
@@ -1,20 +1,22 @@
-// When a new version's share rises, and when it is taken back.
+// Decides when the traffic share of a new version is raised and when the version is rolled back.
 //
-// Load pattern: a new version beside the old one, which fails or is slow at once, later, only under load or on one route
-// only; or which is good, but begins cold, gets little traffic, shares an overload with the old one or a host with a noisy
-// neighbour. Raised by the clock alone, a bad version reaches everybody on time. Taken back by a fixed error limit, a good
-// one is blamed for an outage that the old one has as well.
+// Load pattern: a new version runs beside the old one. It may fail or be slow immediately, later, only under load or on
+// one route only; or it is good but starts cold, gets little traffic, shares an overload with the old version or a host
+// with a noisy neighbour. If the share is raised on a schedule alone, a bad version reaches all callers on time. If a
+// fixed error limit triggers the rollback, a good version is rolled back for an outage that affects the old version as
+// well.
 //
-// So the new version is compared with the old one on the same route, over the same stretch of time and at the same load,
-// by a sequential test (sequential_test.h) of failures, of latency beyond the accepted factor, and of stalls far beyond
-// it. The share follows a ladder whose steps are taken on good evidence, or without it when `completeBy` asks for them.
+// Therefore the new version is compared with the old one on the same route, over the same interval and at the same
+// load, by a sequential test (sequential_test.h) of failures, of latency beyond the accepted factor, and of stalls far
+// beyond it. The share is raised in steps: on sufficient evidence, or without it when `completeBy` requires it.
 //
-// A version that nothing runs has no evidence against it either. So no step is taken without ready upstreams of the new
-// version, the last ones only with enough of them to carry the service alone, and a rollout that lacks them when it should
-// have completed is taken back.
+// A version without ready upstreams produces no evidence against it either. So no step is taken without ready upstreams
+// of the new version, the last step only with enough of them to serve all traffic, and a rollout that lacks them at its
+// completion time is rolled back.
 //
-// Pure: plan, evidence and times in; one step with its reason out. Control runs one per rollout and makes each outcome a
-// new configuration version. Without control nothing rises: only control makes versions.
+// Pure functions: plan, evidence and times in; one decision with its reason out. The control process runs one per
+// rollout and turns each decision into a new configuration version. While control is unreachable no share is raised,
+// because only control creates versions.
 #pragma once
 
 #include "appletally/base/clock.h"
@@ -33,38 +35,38 @@
 
 namespace appletally::policy {
 
-// A rung of the ladder. Fractions are of the time from the rollout's start to `completeBy`.
+// One step of the share schedule. Fractions are of the time from the rollout's start to `completeBy`.
 struct RolloutShareStep {
     base::PerMille share;
-    double earliest = 0; // not before, however good the evidence
-    double latest = 0; // by then also without proof, unless the evidence leans against the version; sooner in a short rollout
+    double earliest = 0; // not before this, however good the evidence
+    double latest = 0; // by then even without sufficient evidence, unless it points against the version; sooner in a short rollout
 };
 
 struct RolloutSettings {
-    std::vector<RolloutShareStep> steps; // the last has 1000; the first rung's share is capped by the plan's mostTrialShare
-    double rollbackScore = 0; // log likelihood ratio at which a version is bad
-    double holdScore = 0; // from here on no rise before the last moment
-    uint64_t minAnswersToRaise = 0; // warm answers on a route that count as proof, when nothing leans against it
-    base::Duration minStepDuration { 2000 }; // at one share: reports of the share before must have come in
+    std::vector<RolloutShareStep> steps; // the last has 1000; the first step's share is limited by the plan's mostTrialShare
+    double rollbackScore = 0; // log likelihood ratio at which a version is rolled back
+    double holdScore = 0; // from this score on the share is held until late in the rollout
+    uint64_t minAnswersToRaise = 0; // answers on each route, cold start excluded, that allow a raise ahead of schedule
+    base::Duration minStepDuration { 2000 }; // at one share, so that reports of the previous share have arrived
 };
 
-// The settings of the two kinds of deployment; docs/DESIGN-claims.md derives them.
+// Settings for each kind of deployment; derived in docs/DESIGN-claims.md.
 RolloutSettings rolloutSettings(config::Weighing);
 
 enum class RolloutAction : uint8_t {
     Keep,
     Raise, // to `share`
-    RollBack, // share 0, for good
-    Complete, // share 1000, for good
+    RollBack, // share 0, final
+    Complete, // share 1000, final
 };
 
 struct RolloutDecision {
     RolloutAction action = RolloutAction::Keep;
-    base::PerMille share; // from now on
+    base::PerMille share; // to apply from now on
     std::string reason; // one sentence for operators
 };
 
-// Decayed counters of the old version on one route, which give the baseline where a stretch has few of its answers.
+// Decayed counters of the old version on one route: the baseline where an interval has few of its answers.
 struct Baseline {
     double answers = 0;
     double failures = 0;
@@ -72,13 +74,14 @@
     LatencyBins busy {};
 };
 
-// How the old version does just now, for one kind of badness: counters that forget within tens of its answers.
+// Recent rate of the old version for one kind of regression. The counters decay within tens of its answers.
 struct RecentRate {
     double answers = 0;
     double hits = 0;
 };
 
-// Each is tested by itself: a version that is slow only under load would be outvoted by its many quick answers.
+// Each kind is tested separately: in a common test, the many fast answers of a version that is slow only under load
+// would outweigh the slow ones.
 enum class RegressionKind : uint8_t { Failing,
     Slow,
     SlowUnderLoad,
@@ -86,30 +89,31 @@
     StallingUnderLoad };
 constexpr size_t regressionKinds = 5;
 
-// Answers are compared in three streams, each over stretches of its own: in an overload the old version has plenty of busy
-// answers at once and quiet ones only after a while, and a quiet one compared too early finds no old one beside it.
+// Answers are compared in three streams, each over its own intervals. In an overload the old version has many busy
+// answers immediately and quiet ones only after a while, and quiet answers of the new version that are compared too
+// early have no answers of the old version to compare with.
 enum class Stream : uint8_t { All,
     Quiet,
     Busy };
 constexpr size_t streamCount = 3;
 
 // How far one stream has been compared.
-struct Compared {
-    std::map<base::HostId, Tally> fresh; // totals of the new version's hosts
+struct ComparedTotals {
+    std::map<base::HostId, Tally> newByHost; // totals per host of the new version
     Tally old;
     base::WallTime at;
 };
 
-// One route: evidence that is not yet compared, and what the comparison gave so far.
+// One route: evidence not yet compared, and the test results so far.
 struct RolloutRoute {
-    std::array<Compared, streamCount> compared;
+    std::array<ComparedTotals, streamCount> compared;
     Baseline baseline;
     std::array<RecentRate, regressionKinds> recent;
-    std::array<SequentialTest, regressionKinds> tests; // all hosts of the new version
+    std::array<SequentialTest, regressionKinds> tests; // over all hosts of the new version
     std::map<base::HostId, std::array<SequentialTest, regressionKinds>> hostTests;
 };
 
-// Ready upstreams of a rollout's two versions, as control knows them.
+// Ready upstreams of a rollout's two versions, as known to control.
 struct VersionUpstreams {
     size_t to = 0;
     size_t from = 0;
@@ -119,15 +123,15 @@
     RolloutSettings settings;
     base::WallTime startedAt;
     base::WallTime lastRaise;
-    std::optional<base::WallTime> lackingSince; // too few upstreams of the new version beside those of the old one
-    EvidenceTotals book;
+    std::optional<base::WallTime> insufficientSince; // since when the new version has had too few upstreams
+    EvidenceTotals evidence;
     std::map<base::RouteName, RolloutRoute> routes;
-    std::array<SequentialTest, regressionKinds> allRoutes; // pooled: finds what is thin on each route by itself
+    std::array<SequentialTest, regressionKinds> allRoutes; // pooled over routes: detects regressions with too few answers on each route
     std::map<base::HostId, std::array<SequentialTest, regressionKinds>> allRoutesByHost;
-    std::optional<RolloutDecision> final; // TakeBack or Complete; invariant: never changed once set
+    std::optional<RolloutDecision> final; // RollBack or Complete; invariant: never changed once set
 };
 
-// When the log committed the rollout and its present share, so that a new leader goes on with the same schedule.
+// When the log committed the rollout and its current share, so that a new leader continues the same schedule.
 struct RolloutTimes {
     base::WallTime startedAt;
     base::WallTime sharedAt;
@@ -135,10 +139,10 @@
 
 RolloutState startRollout(RolloutSettings, const RolloutTimes&);
 
-// Cumulative reports of any host, route and version of the service, in any order and as often as they come.
+// Cumulative reports of any host, route and version of the service. Order and repetition do not matter.
 void onEvidence(RolloutState&, const config::Evidence&);
 
-// `plan` is the rollout as it is in force now. Call after reports came in and at least every 200 ms.
+// `plan` is the rollout as currently applied. Call after reports have arrived and at least every 200 ms.
 RolloutDecision decideRollout(RolloutState&, const config::Rollout& plan, const VersionUpstreams&, base::WallTime now, bool controlReachable);
 
 } // namespace appletally::policy
--- a/tests/fixed_seed.h
+++ b/tests/fixed_seed.h
@@ -14,7 +14,7 @@
     return text ? std::stoull(text) : fallback;
 }
 
-// True where all cases hold; otherwise the shrunk case stands on standard error.
+// Returns true if all cases hold; otherwise prints the shrunk case on standard error.
 template <typename Property>
 bool holds(const std::string& name, uint64_t seed, int cases, int size, Property property)
 {
