--- a/bench/apply_costs.cpp
+++ b/bench/apply_costs.cpp
@@ -101,7 +101,7 @@
     if (before.version.value != 0)
         inner::makePiece(state.snapshot, &before);
     recordStep("encode delta for nodes");
-    Applied node;
+    AppliedConfig node;
     if (!inner::apply(node, full))
         std::printf("the node refused the snapshot\n");
     recordStep("apply snapshot at a node");
--- a/bench/light_nodes.cpp
+++ b/bench/light_nodes.cpp
@@ -84,7 +84,7 @@
                 out += sum.bytesOut;
                 later += sum.cameBackLater;
                 wholes += sum.snapshots;
-                ready += config::versionInForce(it->client->applied()).value != 0;
+                ready += config::appliedVersion(it->client->applied()).value != 0;
             }
             std::cout << nlohmann::json({ { "wall_ms", base::wallNow().ms }, { "bytes_in", in }, { "bytes_out", out }, { "ready", ready }, { "came_back_later", later }, { "snapshots", wholes }, { "records", m_records } }).dump() << std::endl;
             return second();
--- a/bench/measure_rollout.cpp
+++ b/bench/measure_rollout.cpp
@@ -65,7 +65,7 @@
     int raises = 0;
 };
 
-Row measure(const Kind& kind, double perSecond, config::Weighing weighing, int cases)
+Row measure(const Kind& kind, double perSecond, config::OptimizationGoal weighing, int cases)
 {
     Row row;
     for (int seed = 1; seed <= cases; ++seed) {
@@ -115,7 +115,7 @@
     int badOverOnePercent = 0; // rows whose worst case is above 1%
 };
 
-void table(config::Weighing weighing, int cases)
+void table(config::OptimizationGoal weighing, int cases)
 {
     const std::vector<Kind> all = kinds();
     const std::vector<double> traffic { 2, 20, 200 };
@@ -129,7 +129,7 @@
         });
     for (std::thread& it : threads)
         it.join();
-    std::printf("\n%s\n\n", weighing == config::Weighing::SpeedAndTakeBack ? "Weighing take-back (Marsa Volt)" : "Weighing completion (Hlyab za Vsichki)");
+    std::printf("\n%s\n\n", weighing == config::OptimizationGoal::SpeedAndRollback ? "Weighing take-back (Marsa Volt)" : "Weighing completion (Hlyab za Vsichki)");
     std::printf("| version | requests/s | cases | completed in time | taken back | answers hurt per case | worst route hurt | first bad to zero, median ms | 95%% ms | decision to zero, longest ms | shares set per case |\n");
     std::printf("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     Sum sum;
@@ -154,7 +154,7 @@
 int main(int argc, char** argv)
 {
     const int cases = argc > 1 ? std::atoi(argv[1]) : 5;
-    table(config::Weighing::SpeedAndTakeBack, cases);
-    table(config::Weighing::CompletionAndBytes, cases);
+    table(config::OptimizationGoal::SpeedAndRollback, cases);
+    table(config::OptimizationGoal::CompletionAndBytes, cases);
     return 0;
 }
--- a/src/appletally/config/applied.cpp
+++ b/src/appletally/config/applied.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-    bool putInForce(Applied& applied)
+    bool putInForce(AppliedConfig& applied)
     {
-        if (!applied.floor || !applied.held || applied.held->version < *applied.floor || applied.inForce == applied.held)
+        if (!applied.minVersion || !applied.held || applied.held->version < *applied.minVersion || applied.applied == applied.held)
             return false;
-        applied.inForce = applied.held;
+        applied.applied = applied.held;
         return true;
     }
 
-    base::Result<bool> hold(Applied& applied, Snapshot snapshot)
+    base::Result<bool> hold(AppliedConfig& applied, Snapshot snapshot)
     {
         if (auto checked = validate(snapshot); !checked) {
             applied.refused = std::max(applied.refused, snapshot.version);
@@ -34,14 +34,14 @@
 
 } // namespace
 
-base::Result<bool> applySnapshot(Applied& applied, Snapshot snapshot)
+base::Result<bool> applySnapshot(AppliedConfig& applied, Snapshot snapshot)
 {
     if (snapshot.version <= heldVersion(applied))
         return base::fail(Code::VersionTooOld, "snapshot " + std::to_string(snapshot.version.value) + " where " + std::to_string(heldVersion(applied).value) + " is held");
     return hold(applied, std::move(snapshot));
 }
 
-base::Result<bool> applyDelta(Applied& applied, const Delta& delta)
+base::Result<bool> applyDelta(AppliedConfig& applied, const Delta& delta)
 {
     static const Snapshot nothing;
     auto patched = patch(applied.held ? *applied.held : nothing, delta);
@@ -50,14 +50,14 @@
     return hold(applied, std::move(patched.value()));
 }
 
-bool raiseFloor(Applied& applied, base::ConfigVersion version)
+bool raiseMinVersion(AppliedConfig& applied, base::ConfigVersion version)
 {
-    applied.floor = std::max(applied.floor.value_or(version), version);
+    applied.minVersion = std::max(applied.minVersion.value_or(version), version);
     return putInForce(applied);
 }
 
-base::ConfigVersion heldVersion(const Applied& it) { return it.held ? it.held->version : base::ConfigVersion {}; }
+base::ConfigVersion heldVersion(const AppliedConfig& it) { return it.held ? it.held->version : base::ConfigVersion {}; }
 
-base::ConfigVersion versionInForce(const Applied& it) { return it.inForce ? it.inForce->version : base::ConfigVersion {}; }
+base::ConfigVersion appliedVersion(const AppliedConfig& it) { return it.applied ? it.applied->version : base::ConfigVersion {}; }
 
 } // namespace appletally::config
--- a/src/appletally/config/applied.h
+++ b/src/appletally/config/applied.h
@@ -16,10 +16,10 @@
 
 namespace appletally::config {
 
-struct Applied {
+struct AppliedConfig {
     std::shared_ptr<const Snapshot> held; // newest that arrived whole and passed validate(); deltas build on it
-    std::shared_ptr<const Snapshot> inForce; // null: not ready. Else the same as `held`
-    std::optional<base::ConfigVersion> floor; // lowest version that may be in force; empty: not proven yet
+    std::shared_ptr<const Snapshot> applied; // null: not ready. Else the same as `held`
+    std::optional<base::ConfigVersion> minVersion; // lowest version that may be in force; empty: not proven yet
     base::ConfigVersion refused; // highest version that failed its check; 0: none
     std::string refusal; // why it failed, for the dump
 };
@@ -28,14 +28,14 @@
 //   VersionTooOld    not above what is held: doubled, crossed, or from a source that lags
 //   DeltaDoesNotFit  ask for a snapshot, or for a delta from heldVersion()
 //   others           from validate(): refused whole; what is in force stays
-base::Result<bool> applySnapshot(Applied&, Snapshot);
-base::Result<bool> applyDelta(Applied&, const Delta&);
+base::Result<bool> applySnapshot(AppliedConfig&, Snapshot);
+base::Result<bool> applyDelta(AppliedConfig&, const Delta&);
 
 // From the words of a majority of voters (consensus/released.h), asked for after this process began. The floor only
 // rises: a second proof that comes late changes nothing.
-bool raiseFloor(Applied&, base::ConfigVersion);
+bool raiseMinVersion(AppliedConfig&, base::ConfigVersion);
 
-base::ConfigVersion heldVersion(const Applied&);
-base::ConfigVersion versionInForce(const Applied&); // 0: not ready
+base::ConfigVersion heldVersion(const AppliedConfig&);
+base::ConfigVersion appliedVersion(const AppliedConfig&); // 0: not ready
 
 } // namespace appletally::config
--- a/src/appletally/config/codec.h
+++ b/src/appletally/config/codec.h
@@ -26,7 +26,7 @@
 base::Json toJson(const Route&);
 base::Json toJson(const Rollout&);
 base::Json toJson(const KeeperSet&);
-base::Json toJson(const Pace&);
+base::Json toJson(const ControlTiming&);
 base::Json toJson(const CallerLimits&);
 base::Json toJson(const Snapshot&);
 base::Json toJson(const Endpoint&);
@@ -41,7 +41,7 @@
 Route readRoute(base::JsonReader);
 Rollout readRollout(base::JsonReader);
 KeeperSet readKeeperSet(base::JsonReader);
-Pace readPace(base::JsonReader);
+ControlTiming readControlTiming(base::JsonReader);
 CallerLimits readCallerLimits(base::JsonReader);
 
 std::string encode(const base::Json&); // canonical; text that is not UTF-8 is replaced
@@ -68,9 +68,9 @@
 ContentSum sumAfter(const Snapshot& from, const Snapshot& to);
 
 // zstd. `mostBytes` bounds what comes out, so that a small message cannot fill the memory.
-constexpr size_t mostSnapshotBytes = 16 * 1024 * 1024;
+constexpr size_t maxSnapshotBytes = 16 * 1024 * 1024;
 std::string compress(std::string_view bytes);
-base::Result<std::string> decompress(std::string_view bytes, size_t mostBytes = mostSnapshotBytes);
+base::Result<std::string> decompress(std::string_view bytes, size_t maxBytes = maxSnapshotBytes);
 
 const char* stateName(EndpointState); // "starting", "ready", "draining", "gone"
 const char* priorityName(Priority); // "command", "lookup", "read", "archive"
--- a/src/appletally/config/commands.cpp
+++ b/src/appletally/config/commands.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-    constexpr size_t mostWhyBytes = 1024;
+    constexpr size_t maxReasonBytes = 1024;
 
     // Minimum size in bytes of a command that is compressed in the log; compression saves little on shorter ones.
-    constexpr size_t worthCompressing = 1024;
+    constexpr size_t minCompressedBytes = 1024;
 
     // In the order of Command's alternatives.
     const std::vector<std::string> kinds = { "submit", "start_rollout", "stop_rollout", "set_share", "take_back", "complete_rollout", "set_keepers", "finish_keepers", "submit_document", "move_traffic" };
@@ -22,7 +22,7 @@
     void putText(Json& json, const char* key, const std::string& text)
     {
         if (!text.empty())
-            json[key] = text.substr(0, mostWhyBytes);
+            json[key] = text.substr(0, maxReasonBytes);
     }
 
     Json toJson(const OperatorRequest& it)
@@ -42,14 +42,14 @@
     Json fields(const StopRollout& it)
     {
         Json out = { { "request", toJson(it.request) }, { "rollout", it.rollout.text } };
-        putText(out, "why", it.why);
+        putText(out, "why", it.reason);
         return out;
     }
 
     Json fields(const SetShare& it)
     {
         Json out = { { "rollout", it.rollout.text }, { "from", it.from.value }, { "to", it.to.value }, { "at", it.at.ms } };
-        putText(out, "why", it.why);
+        putText(out, "why", it.reason);
         return out;
     }
 
@@ -57,11 +57,11 @@
     Json endingFields(const Ending& it)
     {
         Json out = { { "rollout", it.rollout.text }, { "from", it.from.value }, { "at", it.at.ms } };
-        putText(out, "why", it.why);
+        putText(out, "why", it.reason);
         return out;
     }
 
-    Json fields(const TakeBack& it) { return endingFields(it); }
+    Json fields(const RollBackRollout& it) { return endingFields(it); }
     Json fields(const CompleteRollout& it) { return endingFields(it); }
 
     Json fields(const SetKeepers& it)
@@ -93,7 +93,7 @@
         return out;
     }
 
-    SubmitAnswers readSubmit(JsonReader& it) { return { readRequest(it.object("request")), it.text("answers", mostAnswersBytes) }; }
+    SubmitAnswers readSubmit(JsonReader& it) { return { readRequest(it.object("request")), it.text("answers", maxAnswersBytes) }; }
 
     StartRollout readStart(JsonReader& it)
     {
@@ -106,17 +106,17 @@
         return out;
     }
 
-    StopRollout readStop(JsonReader& it) { return { readRequest(it.object("request")), { it.text("rollout") }, it.text("why", "", mostWhyBytes) }; }
+    StopRollout readStop(JsonReader& it) { return { readRequest(it.object("request")), { it.text("rollout") }, it.text("why", "", maxReasonBytes) }; }
 
     SetShare readSetShare(JsonReader& it)
     {
-        return { { it.text("rollout") }, readPerMille(it, "from"), readPerMille(it, "to"), it.text("why", "", mostWhyBytes), readTime(it, "at") };
+        return { { it.text("rollout") }, readPerMille(it, "from"), readPerMille(it, "to"), it.text("why", "", maxReasonBytes), readTime(it, "at") };
     }
 
     template <typename Ending>
     Ending readEnding(JsonReader& it)
     {
-        return { { it.text("rollout") }, readPerMille(it, "from"), it.text("why", "", mostWhyBytes), readTime(it, "at") };
+        return { { it.text("rollout") }, readPerMille(it, "from"), it.text("why", "", maxReasonBytes), readTime(it, "at") };
     }
 
     SetKeepers readSetKeepers(JsonReader& it)
@@ -137,7 +137,7 @@
         case 3:
             return readSetShare(it);
         case 4:
-            return readEnding<TakeBack>(it);
+            return readEnding<RollBackRollout>(it);
         case 5:
             return readEnding<CompleteRollout>(it);
         case 6:
@@ -183,7 +183,7 @@
 std::string encodeForLog(const Command& command)
 {
     std::string out = encode(command);
-    return out.size() >= worthCompressing ? compress(out) : out;
+    return out.size() >= minCompressedBytes ? compress(out) : out;
 }
 
 base::Result<Command> decodeCommand(std::string_view bytes)
--- a/src/appletally/config/commands.h
+++ b/src/appletally/config/commands.h
@@ -37,7 +37,7 @@
 struct StopRollout {
     OperatorRequest request;
     base::RolloutId rollout;
-    std::string why;
+    std::string reason;
 };
 
 // From the leading control's rollout policy. Each names the share that it starts from: a deposed leader's late word
@@ -46,23 +46,23 @@
     base::RolloutId rollout;
     base::PerMille from;
     base::PerMille to;
-    std::string why;
+    std::string reason;
     base::WallTime at;
 };
 
 // Not refused for another share than `from`: whatever the share is, the evidence against the version stands, and
 // taking back late costs callers more than taking back once too often.
-struct TakeBack {
+struct RollBackRollout {
     base::RolloutId rollout;
     base::PerMille from;
-    std::string why;
+    std::string reason;
     base::WallTime at;
 };
 
 struct CompleteRollout {
     base::RolloutId rollout;
     base::PerMille from;
-    std::string why;
+    std::string reason;
     base::WallTime at;
 };
 
@@ -96,7 +96,7 @@
     base::WallTime at;
 };
 
-using Command = std::variant<SubmitAnswers, StartRollout, StopRollout, SetShare, TakeBack, CompleteRollout, SetKeepers, FinishKeeperChange, SubmitDocument, MoveTraffic>;
+using Command = std::variant<SubmitAnswers, StartRollout, StopRollout, SetShare, RollBackRollout, CompleteRollout, SetKeepers, FinishKeeperChange, SubmitDocument, MoveTraffic>;
 
 std::string encode(const Command&);
 std::string encodeForLog(const Command&); // compressed if large
--- a/src/appletally/config/delta.cpp
+++ b/src/appletally/config/delta.cpp
@@ -87,20 +87,20 @@
 
     // Stores up to mostLines lines and counts the rest, so that large changes do not build a line for each resource.
     struct LimitedLines {
-        size_t mostLines = 0;
+        size_t maxLines = 0;
         size_t count = 0;
         std::vector<std::string> kept;
 
         template <typename MakeLine>
         void add(MakeLine makeLine)
         {
-            if (count++ < mostLines)
+            if (count++ < maxLines)
                 kept.push_back(makeLine());
         }
         void append(LimitedLines&& other)
         {
             for (std::string& it : other.kept) {
-                if (kept.size() < mostLines)
+                if (kept.size() < maxLines)
                     kept.push_back(std::move(it));
             }
             count += other.count;
@@ -111,8 +111,8 @@
     void describe(const char* kind, const std::map<Key, Value>& from, const std::map<Key, Value>& to, LimitedLines& lines)
     {
         const auto nameOf = [kind](const Key& key) { return std::string(kind) + " " + key.text + ": "; };
-        LimitedLines removed { lines.mostLines, 0, {} };
-        LimitedLines others { lines.mostLines, 0, {} };
+        LimitedLines removed { lines.maxLines, 0, {} };
+        LimitedLines others { lines.maxLines, 0, {} };
         auto old = from.begin(); // both are in the order of their keys: one walk instead of a look-up for each
         for (const auto& [key, value] : to) {
             for (; old != from.end() && old->first < key; ++old)
@@ -146,13 +146,13 @@
     out.from = from.version;
     out.to = to.version;
     out.resultHash = sumAfter(from, to).value;
-    collect(from.services, to.services, out.services, out.goneServices);
-    collect(from.routes, to.routes, out.routes, out.goneRoutes);
-    collect(from.rollouts, to.rollouts, out.rollouts, out.goneRollouts);
+    collect(from.services, to.services, out.services, out.removedServices);
+    collect(from.routes, to.routes, out.routes, out.removedRoutes);
+    collect(from.rollouts, to.rollouts, out.rollouts, out.removedRollouts);
     if (!(from.keepers == to.keepers))
         out.keepers = to.keepers;
-    if (!(from.pace == to.pace))
-        out.pace = to.pace;
+    if (!(from.timing == to.timing))
+        out.timing = to.timing;
     if (!(from.callerLimits == to.callerLimits))
         out.callerLimits = to.callerLimits;
     return out;
@@ -166,11 +166,11 @@
         return base::fail(Code::DeltaDoesNotFit, "a delta from " + std::to_string(delta.from.value) + " where " + std::to_string(snapshot.version.value) + " is held");
     Snapshot out = snapshot;
     out.version = delta.to;
-    put(out.services, delta.services, delta.goneServices, &Service::name);
-    put(out.routes, delta.routes, delta.goneRoutes, &Route::name);
-    put(out.rollouts, delta.rollouts, delta.goneRollouts, &Rollout::id);
+    put(out.services, delta.services, delta.removedServices, &Service::name);
+    put(out.routes, delta.routes, delta.removedRoutes, &Route::name);
+    put(out.rollouts, delta.rollouts, delta.removedRollouts, &Rollout::id);
     out.keepers = delta.keepers.value_or(out.keepers);
-    out.pace = delta.pace.value_or(out.pace);
+    out.timing = delta.timing.value_or(out.timing);
     out.callerLimits = delta.callerLimits.value_or(out.callerLimits);
     out.sum = sumAfter(snapshot, out);
     if (out.sum.value != delta.resultHash)
@@ -186,16 +186,16 @@
     if (it.callerLimits)
         writeRawMember(out, "caller_limits", encode(toJson(*it.callerLimits)));
     writeMember(out, "from", it.from.value);
-    writeNamesUnlessEmpty(out, "gone_rollouts", it.goneRollouts);
-    writeNamesUnlessEmpty(out, "gone_routes", it.goneRoutes);
-    writeNamesUnlessEmpty(out, "gone_services", it.goneServices);
+    writeNamesUnlessEmpty(out, "gone_rollouts", it.removedRollouts);
+    writeNamesUnlessEmpty(out, "gone_routes", it.removedRoutes);
+    writeNamesUnlessEmpty(out, "gone_services", it.removedServices);
     // The hash takes all 64 bits, more than the checked reader's whole numbers hold: two halves.
     writeMember(out, "hash_high", it.resultHash >> 32);
     writeMember(out, "hash_low", it.resultHash & UINT32_MAX);
     if (it.keepers)
         writeRawMember(out, "keepers", encode(toJson(*it.keepers)));
-    if (it.pace)
-        writeRawMember(out, "pace", encode(toJson(*it.pace)));
+    if (it.timing)
+        writeRawMember(out, "pace", encode(toJson(*it.timing)));
     writeUnlessEmpty(out, "rollouts", it.rollouts);
     writeUnlessEmpty(out, "routes", it.routes);
     writeUnlessEmpty(out, "services", it.services);
@@ -219,13 +219,13 @@
     out.services = readList(top, "services", readService);
     out.routes = readList(top, "routes", readRoute);
     out.rollouts = readList(top, "rollouts", readRollout);
-    out.goneServices = readNames<base::ServiceName>(top, "gone_services");
-    out.goneRoutes = readNames<base::RouteName>(top, "gone_routes");
-    out.goneRollouts = readNames<base::RolloutId>(top, "gone_rollouts");
+    out.removedServices = readNames<base::ServiceName>(top, "gone_services");
+    out.removedRoutes = readNames<base::RouteName>(top, "gone_routes");
+    out.removedRollouts = readNames<base::RolloutId>(top, "gone_rollouts");
     if (top.has("keepers"))
         out.keepers = readKeeperSet(top.object("keepers"));
     if (top.has("pace"))
-        out.pace = readPace(top.object("pace"));
+        out.timing = readControlTiming(top.object("pace"));
     if (top.has("caller_limits"))
         out.callerLimits = readCallerLimits(top.object("caller_limits"));
     top.finish();
@@ -234,14 +234,14 @@
     return out;
 }
 
-std::vector<std::string> describeDifference(const Snapshot& from, const Snapshot& to, size_t mostLines)
+std::vector<std::string> describeDifference(const Snapshot& from, const Snapshot& to, size_t maxLines)
 {
-    LimitedLines lines { mostLines, 0, {} };
+    LimitedLines lines { maxLines, 0, {} };
     describe("service", from.services, to.services, lines);
     describe("route", from.routes, to.routes, lines);
     describe("rollout", from.rollouts, to.rollouts, lines);
     describeOne("keepers", from.keepers, to.keepers, lines);
-    describeOne("pace", from.pace, to.pace, lines);
+    describeOne("pace", from.timing, to.timing, lines);
     describeOne("caller limits", from.callerLimits, to.callerLimits, lines);
     if (lines.count > lines.kept.size())
         lines.kept.push_back("and " + std::to_string(lines.count - lines.kept.size()) + " more");
--- a/src/appletally/config/delta.h
+++ b/src/appletally/config/delta.h
@@ -22,11 +22,11 @@
     std::vector<Service> services; // new or changed
     std::vector<Route> routes;
     std::vector<Rollout> rollouts;
-    std::vector<base::ServiceName> goneServices;
-    std::vector<base::RouteName> goneRoutes;
-    std::vector<base::RolloutId> goneRollouts;
+    std::vector<base::ServiceName> removedServices;
+    std::vector<base::RouteName> removedRoutes;
+    std::vector<base::RolloutId> removedRollouts;
     std::optional<KeeperSet> keepers; // where they changed
-    std::optional<Pace> pace;
+    std::optional<ControlTiming> timing;
     std::optional<CallerLimits> callerLimits;
 };
 
@@ -42,6 +42,6 @@
 
 // For people: one line for each resource that differs, "service a: slots 10 -> 12", "route r: added". At most
 // `mostLines` lines, followed by a line with the number of omitted ones, if any.
-std::vector<std::string> describeDifference(const Snapshot& from, const Snapshot& to, size_t mostLines = SIZE_MAX);
+std::vector<std::string> describeDifference(const Snapshot& from, const Snapshot& to, size_t maxLines = SIZE_MAX);
 
 } // namespace appletally::config
--- a/src/appletally/config/document.cpp
+++ b/src/appletally/config/document.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-    constexpr size_t mostTextBytes = 1024 * 1024; // of one resource
+    constexpr size_t maxTextBytes = 1024 * 1024; // of one resource
 
     // Into `changed` what is new or has another text, into `gone` what is no longer there.
     template <typename Name, typename Part>
@@ -65,8 +65,8 @@
     {
         std::map<std::string, std::string> out;
         for (JsonReader& it : top.objects(key)) {
-            const std::string name = it.text("name", "", mostTextBytes);
-            out[name] = it.text("text", mostTextBytes);
+            const std::string name = it.text("name", "", maxTextBytes);
+            out[name] = it.text("text", maxTextBytes);
             it.finish();
         }
         return out;
@@ -77,8 +77,8 @@
 DocumentChange changeFrom(const DocumentTexts& before, const Document& document)
 {
     DocumentChange out;
-    compare(before.routes, document.routes, out.routes, out.goneRoutes);
-    compare(before.services, document.services, out.services, out.goneServices);
+    compare(before.routes, document.routes, out.routes, out.removedRoutes);
+    compare(before.services, document.services, out.services, out.removedServices);
     out.limits = document.limits;
     out.others = document.others;
     return out;
@@ -107,8 +107,8 @@
 void write(JsonWriter& out, const DocumentChange& it)
 {
     out.StartObject();
-    writeNames(out, "gone_routes", it.goneRoutes);
-    writeNames(out, "gone_services", it.goneServices);
+    writeNames(out, "gone_routes", it.removedRoutes);
+    writeNames(out, "gone_services", it.removedServices);
     base::writeRawMember(out, "limits", encode(toJson(it.limits)));
     writeTexts(out, "others", it.others);
     writeParts(out, "routes", it.routes, "route", &DocumentRoute::route);
@@ -120,15 +120,15 @@
 {
     DocumentChange out;
     for (JsonReader& it : top.objects("routes")) {
-        out.routes.push_back({ readRoute(it.object("route")), it.text("text", mostTextBytes) });
+        out.routes.push_back({ readRoute(it.object("route")), it.text("text", maxTextBytes) });
         it.finish();
     }
     for (JsonReader& it : top.objects("services")) {
-        out.services.push_back({ readService(it.object("service")), it.text("text", mostTextBytes) });
+        out.services.push_back({ readService(it.object("service")), it.text("text", maxTextBytes) });
         it.finish();
     }
-    out.goneRoutes = readNames<base::RouteName>(top, "gone_routes");
-    out.goneServices = readNames<base::ServiceName>(top, "gone_services");
+    out.removedRoutes = readNames<base::RouteName>(top, "gone_routes");
+    out.removedServices = readNames<base::ServiceName>(top, "gone_services");
     out.limits = readCallerLimits(top.object("limits"));
     out.others = readTexts(top, "others");
     top.finish();
--- a/src/appletally/config/document.h
+++ b/src/appletally/config/document.h
@@ -58,9 +58,9 @@
 // What differs from the document before.
 struct DocumentChange {
     std::vector<DocumentRoute> routes; // new or changed
-    std::vector<base::RouteName> goneRoutes;
+    std::vector<base::RouteName> removedRoutes;
     std::vector<DocumentService> services;
-    std::vector<base::ServiceName> goneServices;
+    std::vector<base::ServiceName> removedServices;
     CallerLimits limits; // always
     std::map<std::string, std::string> others; // always
 };
@@ -75,7 +75,7 @@
 
 // Lost acknowledgements are resent for seconds, and a day has some thousand changes; a resend that is older than all of
 // these is refused as a conflict with what came since, which says nothing false about what is in force.
-constexpr size_t keptDocuments = 4096;
+constexpr size_t maxDocumentIds = 4096;
 
 DocumentChange changeFrom(const DocumentTexts&, const Document&);
 bool wasAccepted(const DocumentRecord&, const DocumentId&);
--- a/src/appletally/config/endpoint.h
+++ b/src/appletally/config/endpoint.h
@@ -32,6 +32,6 @@
 // How long a record lives without renewal, and how often it is renewed. Callers notice a dead node from its broken or
 // silent link long before; this only bounds how long a dead record is carried. Three renewals may be lost.
 constexpr base::Duration endpointLifetime { 8000 };
-constexpr base::Duration endpointRenewal { 2000 };
+constexpr base::Duration endpointRenewalInterval { 2000 };
 
 } // namespace appletally::config
--- a/src/appletally/config/endpoint_mirror.cpp
+++ b/src/appletally/config/endpoint_mirror.cpp
@@ -21,16 +21,16 @@
         const bool sameRegistry = delta.to.registry == mirror.cursor.registry;
         if (sameRegistry && place(delta.to) <= place(mirror.cursor))
             return base::fail(Code::VersionTooOld, "endpoints were read up to " + std::to_string(mirror.cursor.change));
-        if (!delta.whole && !(delta.from == mirror.cursor))
+        if (!delta.restartsList && !(delta.from == mirror.cursor))
             return base::fail(Code::DeltaDoesNotFit, "endpoints from " + std::to_string(delta.from.change) + " where " + std::to_string(mirror.cursor.change) + " was read");
         return base::success();
     }
 
-    void doubtAll(EndpointMirror& mirror, base::Time now)
+    void markAllUnconfirmed(EndpointMirror& mirror, base::Time now)
     {
         for (auto& [host, entry] : mirror.entries) {
             if (!isGone(entry))
-                entry.doubted = now;
+                entry.unconfirmedSince = now;
         }
     }
 
@@ -44,8 +44,8 @@
             return false;
         const bool news = isNew || age(endpoint) != age(entry.endpoint) || endpoint.state != entry.endpoint.state;
         entry.endpoint = endpoint;
-        entry.doubted.reset();
-        entry.goneAt = now;
+        entry.unconfirmedSince.reset();
+        entry.removedAt = now;
         return news;
     }
 
@@ -55,8 +55,8 @@
 {
     if (auto fits = checkFits(mirror, delta); !fits)
         return fits.error();
-    if (delta.whole)
-        doubtAll(mirror, now);
+    if (delta.restartsList)
+        markAllUnconfirmed(mirror, now);
     std::vector<Endpoint> news;
     for (const Endpoint& it : delta.endpoints) {
         if (take(mirror, it, now))
@@ -66,29 +66,29 @@
     return news;
 }
 
-std::vector<Endpoint> dropDoubted(EndpointMirror& mirror, base::Time linkedSince, base::Time now)
+std::vector<Endpoint> expireUnconfirmed(EndpointMirror& mirror, base::Time linkedSince, base::Time now)
 {
-    std::vector<MirrorEntry*> runOut;
+    std::vector<MirrorEntry*> candidates;
     int64_t live = 0;
     for (auto it = mirror.entries.begin(); it != mirror.entries.end();) {
         MirrorEntry& entry = it->second;
         if (isGone(entry)) {
-            it = now - entry.goneAt >= tombstoneLifetime ? mirror.entries.erase(it) : std::next(it);
+            it = now - entry.removedAt >= tombstoneLifetime ? mirror.entries.erase(it) : std::next(it);
             continue;
         }
         ++live;
-        if (entry.doubted && now - std::max(*entry.doubted, linkedSince) >= endpointLifetime)
-            runOut.push_back(&entry);
+        if (entry.unconfirmedSince && now - std::max(*entry.unconfirmedSince, linkedSince) >= endpointLifetime)
+            candidates.push_back(&entry);
         ++it;
     }
-    const bool held = expiryIsHeld(static_cast<int64_t>(runOut.size()), live);
+    const bool held = expiryIsPaused(static_cast<int64_t>(candidates.size()), live);
     std::vector<Endpoint> out;
-    for (MirrorEntry* entry : runOut) {
-        if (held && now - std::max(*entry->doubted, linkedSince) < longestHold)
+    for (MirrorEntry* entry : candidates) {
+        if (held && now - std::max(*entry->unconfirmedSince, linkedSince) < maxExpiryPause)
             continue;
         entry->endpoint.state = EndpointState::Gone;
-        entry->doubted.reset();
-        entry->goneAt = now;
+        entry->unconfirmedSince.reset();
+        entry->removedAt = now;
         out.push_back(entry->endpoint);
     }
     return out;
--- a/src/appletally/config/endpoint_mirror.h
+++ b/src/appletally/config/endpoint_mirror.h
@@ -16,8 +16,8 @@
 
 struct MirrorEntry {
     Endpoint endpoint; // state Gone: kept, so that an older record from another source does not bring it back
-    std::optional<base::Time> doubted; // since when the source's list lacks it
-    base::Time goneAt; // only where it is gone
+    std::optional<base::Time> unconfirmedSince; // since when the source's list lacks it
+    base::Time removedAt; // only where it is gone
 };
 
 struct EndpointMirror {
@@ -32,6 +32,6 @@
 
 // While the source is linked: drops what was in doubt for too long, returns it as Gone. Not to be called without a
 // source: then nothing is known, and what is held stays. The hold of expiryIsHeld() applies.
-std::vector<Endpoint> dropDoubted(EndpointMirror&, base::Time linkedSince, base::Time now);
+std::vector<Endpoint> expireUnconfirmed(EndpointMirror&, base::Time linkedSince, base::Time now);
 
 } // namespace appletally::config
--- a/src/appletally/config/endpoint_registry.cpp
+++ b/src/appletally/config/endpoint_registry.cpp
@@ -17,13 +17,13 @@
         registry.byChange[entry.change] = entry.endpoint.host;
     }
 
-    bool isGone(const RegistryEntry& it) { return it.ranOut || it.endpoint.state == EndpointState::Gone; }
+    bool isGone(const RegistryEntry& it) { return it.expired || it.endpoint.state == EndpointState::Gone; }
 
     bool concerns(const RegistryEntry& entry, const std::set<base::ServiceName>* services)
     {
         if (!services || services->contains(entry.endpoint.service))
             return true;
-        return std::any_of(entry.earlier.begin(), entry.earlier.end(), [&](const base::ServiceName& it) { return services->contains(it); });
+        return std::any_of(entry.previousServices.begin(), entry.previousServices.end(), [&](const base::ServiceName& it) { return services->contains(it); });
     }
 
     void dropOldTombstones(EndpointRegistry& registry, base::Time now)
@@ -35,20 +35,20 @@
                 ++it;
                 continue;
             }
-            registry.droppedUpTo = std::max(registry.droppedUpTo, entry.change);
+            registry.lastDroppedChange = std::max(registry.lastDroppedChange, entry.change);
             registry.byChange.erase(entry.change);
             it = registry.entries.erase(it);
         }
     }
 
-    bool takeBeat(EndpointRegistry& registry, RegistryEntry& entry, uint64_t beat, base::Time now)
+    bool applyHeartbeat(EndpointRegistry& registry, RegistryEntry& entry, uint64_t heartbeat, base::Time now)
     {
-        if (beat <= entry.beat || entry.endpoint.state == EndpointState::Gone)
+        if (heartbeat <= entry.heartbeat || entry.endpoint.state == EndpointState::Gone)
             return false;
-        entry.beat = beat;
+        entry.heartbeat = heartbeat;
         entry.renewed = now;
-        if (entry.ranOut) {
-            entry.ranOut = false;
+        if (entry.expired) {
+            entry.expired = false;
             markChanged(registry, entry);
         }
         return true;
@@ -56,22 +56,22 @@
 
 } // namespace
 
-bool expiryIsHeld(int64_t runOut, int64_t live) { return runOut > std::max(expiredAlways, live * mostExpiredPercent / 100); }
+bool expiryIsPaused(int64_t candidates, int64_t live) { return candidates > std::max(maxExpiredInSmallMesh, live * maxExpiredPercent / 100); }
 
-bool put(EndpointRegistry& registry, const Endpoint& endpoint, uint64_t beat, base::Time now)
+bool put(EndpointRegistry& registry, const Endpoint& endpoint, uint64_t heartbeat, base::Time now)
 {
     auto [it, isNew] = registry.entries.try_emplace(endpoint.host);
     RegistryEntry& entry = it->second;
     if (!isNew && age(endpoint) < age(entry.endpoint))
         return false;
     if (!isNew && age(endpoint) == age(entry.endpoint))
-        return takeBeat(registry, entry, beat, now);
+        return applyHeartbeat(registry, entry, heartbeat, now);
     if (!isNew && entry.endpoint.service != endpoint.service)
-        entry.earlier.insert(entry.endpoint.service);
+        entry.previousServices.insert(entry.endpoint.service);
     entry.endpoint = endpoint;
-    entry.beat = beat;
+    entry.heartbeat = heartbeat;
     entry.renewed = now;
-    entry.ranOut = false;
+    entry.expired = false;
     markChanged(registry, entry);
     return true;
 }
@@ -85,7 +85,7 @@
     if (renewed > age(it->second.endpoint))
         return false;
     if (renewed == age(it->second.endpoint))
-        takeBeat(registry, it->second, renewal.beat, now);
+        applyHeartbeat(registry, it->second, renewal.heartbeat, now);
     return true;
 }
 
@@ -94,28 +94,28 @@
     std::vector<EndpointRenewal> out;
     for (const auto& [host, entry] : registry.entries) {
         if (entry.renewed > since && !isGone(entry))
-            out.push_back({ host, entry.endpoint.incarnation, entry.endpoint.sequence, entry.beat });
+            out.push_back({ host, entry.endpoint.incarnation, entry.endpoint.sequence, entry.heartbeat });
     }
     return out;
 }
 
 size_t expire(EndpointRegistry& registry, base::Time now)
 {
-    std::vector<RegistryEntry*> runOut;
+    std::vector<RegistryEntry*> candidates;
     int64_t live = 0;
     for (auto& [host, entry] : registry.entries) {
         if (isGone(entry))
             continue;
         ++live;
         if (now - entry.renewed >= endpointLifetime)
-            runOut.push_back(&entry);
+            candidates.push_back(&entry);
     }
-    const bool held = expiryIsHeld(static_cast<int64_t>(runOut.size()), live);
+    const bool held = expiryIsPaused(static_cast<int64_t>(candidates.size()), live);
     size_t out = 0;
-    for (RegistryEntry* entry : runOut) {
-        if (held && now - entry->renewed < longestHold)
+    for (RegistryEntry* entry : candidates) {
+        if (held && now - entry->renewed < maxExpiryPause)
             continue;
-        entry->ranOut = true;
+        entry->expired = true;
         entry->renewed = now;
         markChanged(registry, *entry);
         ++out;
@@ -124,7 +124,7 @@
     return out;
 }
 
-static bool isReady(const RegistryEntry& it) { return !it.ranOut && it.endpoint.state == EndpointState::Ready; }
+static bool isReady(const RegistryEntry& it) { return !it.expired && it.endpoint.state == EndpointState::Ready; }
 
 std::map<base::ServiceName, ReadyByVersion> readyUpstreams(const EndpointRegistry& registry)
 {
@@ -146,29 +146,29 @@
     return out;
 }
 
-EndpointsDelta changesSince(const EndpointRegistry& registry, EndpointCursor cursor, const std::set<base::ServiceName>* services, size_t most)
+EndpointsDelta changesSince(const EndpointRegistry& registry, EndpointCursor cursor, const std::set<base::ServiceName>* services, size_t maxEndpoints)
 {
     EndpointsDelta out;
     out.from = cursor;
-    const bool missedTombstone = std::max(cursor.change, cursor.since) < registry.droppedUpTo;
-    out.whole = cursor.registry != registry.id || cursor.change == 0 || missedTombstone;
-    uint64_t reached = out.whole ? 0 : cursor.change;
+    const bool missedTombstone = std::max(cursor.change, cursor.since) < registry.lastDroppedChange;
+    out.restartsList = cursor.registry != registry.id || cursor.change == 0 || missedTombstone;
+    uint64_t reached = out.restartsList ? 0 : cursor.change;
     for (auto it = registry.byChange.upper_bound(reached); it != registry.byChange.end(); ++it) {
         const RegistryEntry& entry = registry.entries.at(it->second);
         const bool wanted = concerns(entry, services);
-        if (wanted && out.endpoints.size() == most) {
+        if (wanted && out.endpoints.size() == maxEndpoints) {
             out.more = true;
             break;
         }
         if (wanted) {
             out.endpoints.push_back(entry.endpoint);
-            if (entry.ranOut)
+            if (entry.expired)
                 out.endpoints.back().state = EndpointState::Gone;
         }
         reached = it->first;
     }
     // At the end of the list, dropped tombstones are read as well.
-    out.to = { registry.id, out.more ? reached : registry.lastChange, out.whole ? registry.lastChange : cursor.since };
+    out.to = { registry.id, out.more ? reached : registry.lastChange, out.restartsList ? registry.lastChange : cursor.since };
     return out;
 }
 
--- a/src/appletally/config/endpoint_registry.h
+++ b/src/appletally/config/endpoint_registry.h
@@ -31,7 +31,7 @@
 struct EndpointsDelta {
     EndpointCursor from; // where the subscriber stood; not looked at where `whole`
     EndpointCursor to; // where it stands after this batch
-    bool whole = false; // starts the list anew: what this batch and the next do not repeat is in doubt
+    bool restartsList = false; // starts the list anew: what this batch and the next do not repeat is in doubt
     bool more = false; // ask again at once
     std::vector<Endpoint> endpoints; // state Gone: forget it
 };
@@ -41,7 +41,7 @@
     base::HostId host;
     base::Incarnation incarnation;
     base::Sequence sequence;
-    uint64_t beat = 0; // counted by the writer within one sequence
+    uint64_t heartbeat = 0; // counted by the writer within one sequence
 };
 
 // Tombstones outlive every older record that may still be on its way: records are renewed every two seconds, and a
@@ -51,19 +51,19 @@
 // When more records than this run out at once, it is control's links that broke and not a fifth of all upstreams: a
 // herd of nodes that waits to be let in again would else be taken out of service everywhere. Callers notice truly dead
 // nodes by their own links, so holding the records costs little; three at least, for small meshes.
-constexpr int64_t mostExpiredPercent = 20;
-constexpr int64_t expiredAlways = 3;
-constexpr base::Duration longestHold { 600'000 }; // then they go whatever their number
+constexpr int64_t maxExpiredPercent = 20;
+constexpr int64_t maxExpiredInSmallMesh = 3;
+constexpr base::Duration maxExpiryPause { 600'000 }; // then they go whatever their number
 
-bool expiryIsHeld(int64_t runOut, int64_t live);
+bool expiryIsPaused(int64_t expired, int64_t live);
 
 struct RegistryEntry {
     Endpoint endpoint;
-    uint64_t beat = 0; // highest that came
+    uint64_t heartbeat = 0; // highest that came
     base::Time renewed; // when the latest record or renewal came, or when it ran out
-    bool ranOut = false; // shown as gone to subscribers; a renewal brings it back
+    bool expired = false; // shown as gone to subscribers; a renewal brings it back
     uint64_t change = 0; // of the last change that subscribers must hear of
-    std::set<base::ServiceName> earlier; // services that the host served before: their subscribers must hear that it left
+    std::set<base::ServiceName> previousServices; // services that the host served before: their subscribers must hear that it left
 };
 
 struct EndpointRegistry {
@@ -71,12 +71,12 @@
     std::map<base::HostId, RegistryEntry> entries;
     std::map<uint64_t, base::HostId> byChange; // invariant: one for each entry, by its `change`
     uint64_t lastChange = 0;
-    uint64_t droppedUpTo = 0; // highest change of a dropped tombstone: who has read less must start anew
+    uint64_t lastDroppedChange = 0; // highest change of a dropped tombstone: who has read less must start anew
 };
 
 // Whether it was news: later than what is held, or a sign of life. From the writer with its beat, from another relay
 // with beat 0, which renews nothing.
-bool put(EndpointRegistry&, const Endpoint&, uint64_t beat, base::Time now);
+bool put(EndpointRegistry&, const Endpoint&, uint64_t heartbeat, base::Time now);
 
 // False where the record itself is needed first.
 bool renew(EndpointRegistry&, const EndpointRenewal&, base::Time now);
@@ -91,6 +91,6 @@
 size_t expire(EndpointRegistry&, base::Time now);
 
 // `services`: null for all. A subscriber whose set grows starts from an empty cursor.
-EndpointsDelta changesSince(const EndpointRegistry&, EndpointCursor, const std::set<base::ServiceName>* services, size_t most);
+EndpointsDelta changesSince(const EndpointRegistry&, EndpointCursor, const std::set<base::ServiceName>* services, size_t maxEndpoints);
 
 } // namespace appletally::config
--- a/src/appletally/config/generate.cpp
+++ b/src/appletally/config/generate.cpp
@@ -16,8 +16,8 @@
     // Convergence first: 20 ms gathers what one operator's action causes, and is a fiftieth of the second that all
     // reachable nodes may take. Bytes first: half a second gathers the churn of a whole restart wave, and still leaves
     // the eleven seconds of the largest mesh untouched.
-    constexpr Pace fastPace { Weighing::SpeedAndTakeBack, base::Duration { 20 }, base::Duration { 200 } };
-    constexpr Pace sparingPace { Weighing::CompletionAndBytes, base::Duration { 500 }, base::Duration { 1000 } };
+    constexpr ControlTiming lowLatencyTiming { OptimizationGoal::SpeedAndRollback, base::Duration { 20 }, base::Duration { 200 } };
+    constexpr ControlTiming lowTrafficTiming { OptimizationGoal::CompletionAndBytes, base::Duration { 500 }, base::Duration { 1000 } };
 
     Route makeRoute(const RouteAnswers& it, const base::ServiceName& service)
     {
@@ -30,7 +30,7 @@
         out.priority = it.priority;
         out.timeout = it.timeout;
         out.expected = it.expected;
-        out.mostRequestBody = it.mostRequestBody;
+        out.maxRequestBody = it.maxRequestBody;
         out.callers = it.callers;
         std::sort(out.callers.begin(), out.callers.end());
         return out;
@@ -43,7 +43,7 @@
         out.dependsOn = it.dependsOn;
         std::sort(out.dependsOn.begin(), out.dependsOn.end());
         out.slots = it.slots;
-        out.mostConnections = it.mostConnections;
+        out.maxConnections = it.maxConnections;
         out.retryBudget = it.retryBudget;
         if (!it.firstVersion.empty())
             out.versions = { { it.firstVersion, { 1000 } } };
@@ -66,7 +66,7 @@
         }
         if (!service.versions.empty() && sum != 1000)
             return fail(Code::AnswersInvalid, "service " + service.name.text + ": shares add up to " + std::to_string(sum) + ", not 1000");
-        if (service.slots < 1 || service.mostConnections < 1)
+        if (service.slots < 1 || service.maxConnections < 1)
             return fail(Code::AnswersInvalid, "service " + service.name.text + ": slots and connections start at 1");
         return base::success();
     }
@@ -168,7 +168,7 @@
 Snapshot generate(const Answers& answers)
 {
     Snapshot out;
-    out.pace = answers.weighing == Weighing::SpeedAndTakeBack ? fastPace : sparingPace;
+    out.timing = answers.goal == OptimizationGoal::SpeedAndRollback ? lowLatencyTiming : lowTrafficTiming;
     for (const ServiceAnswers& service : answers.services) {
         out.services[service.name] = makeService(service);
         for (const RouteAnswers& route : service.routes)
@@ -180,11 +180,11 @@
 base::Result<Snapshot> generate(const AnswersOfTeams& teams)
 {
     Snapshot out;
-    out.pace = teams.empty() ? fastPace : sparingPace;
+    out.timing = teams.empty() ? lowLatencyTiming : lowTrafficTiming;
     for (const auto& [team, answers] : teams) {
         Snapshot part = generate(answers);
-        if (part.pace.batch < out.pace.batch)
-            out.pace = part.pace;
+        if (part.timing.batch < out.timing.batch)
+            out.timing = part.timing;
         for (auto& [name, service] : part.services) {
             if (!out.services.emplace(name, service).second)
                 return fail(Code::AnswersInvalid, team + ": service " + name.text + " belongs to another team");
--- a/src/appletally/config/outcomes.cpp
+++ b/src/appletally/config/outcomes.cpp
@@ -14,7 +14,7 @@
         return { code, std::move(text), state.snapshot.version, {}, {} };
     }
 
-    constexpr size_t mostOutcomeBytes = 500;
+    constexpr size_t maxOutcomeBytes = 500;
 
     void forgetOldestNumber(OperatorRecord& record)
     {
@@ -32,7 +32,7 @@
 
 } // namespace
 
-const KeptOutcome* findOutcome(const State& state, const base::OperatorId& by, base::RequestNumber number)
+const StoredOutcome* findOutcome(const State& state, const base::OperatorId& by, base::RequestNumber number)
 {
     const auto record = state.operators.find(by);
     if (record == state.operators.end())
@@ -43,7 +43,7 @@
 
 std::optional<Outcome> answerFromTable(const State& state, const OperatorRequest& request, uint64_t hash)
 {
-    if (const KeptOutcome* kept = findOutcome(state, request.by, request.number)) {
+    if (const StoredOutcome* kept = findOutcome(state, request.by, request.number)) {
         if (kept->hash == hash)
             return kept->outcome;
         return refuse(state, Code::RequestNumberReused, "operator " + request.by.text + " used number " + std::to_string(request.number.value) + " for another request");
@@ -61,9 +61,9 @@
     return {};
 }
 
-std::string boundedText(const std::string& text)
+std::string sanitizedText(const std::string& text)
 {
-    std::string out = text.substr(0, mostOutcomeBytes);
+    std::string out = text.substr(0, maxOutcomeBytes);
     std::replace_if(
         out.begin(), out.end(), [](unsigned char c) { return c < ' ' || c > '~'; }, '?');
     return out;
@@ -71,12 +71,12 @@
 
 void keepOutcome(State& state, const OperatorRequest& request, uint64_t hash, const Outcome& outcome)
 {
-    if (!state.operators.contains(request.by) && state.operators.size() >= keptOperators)
+    if (!state.operators.contains(request.by) && state.operators.size() >= maxOperators)
         forgetOldestOperator(state);
     OperatorRecord& record = state.operators[request.by];
     record.last = state.applied;
     record.outcomes[request.number] = { hash, outcome };
-    if (record.outcomes.size() > keptOutcomesOfOperator)
+    if (record.outcomes.size() > maxOutcomesPerOperator)
         forgetOldestNumber(record);
 }
 
--- a/src/appletally/config/outcomes.h
+++ b/src/appletally/config/outcomes.h
@@ -15,7 +15,7 @@
 
 // Printable ASCII and at most 500 bytes. The text may quote what an operator sent; kept whole and by the thousand it
 // would fill the log's snapshots, and cut within a character it would come back from one as other bytes.
-std::string boundedText(const std::string&);
+std::string sanitizedText(const std::string&);
 
 void keepOutcome(State&, const OperatorRequest&, uint64_t hash, const Outcome&);
 
--- a/src/appletally/config/questionnaire.h
+++ b/src/appletally/config/questionnaire.h
@@ -21,14 +21,14 @@
     Priority priority = Priority::Read;
     base::Duration timeout { 2000 };
     base::Duration expected { 20 };
-    base::Bytes mostRequestBody { 64 * 1024 };
+    base::Bytes maxRequestBody { 64 * 1024 };
     std::vector<base::CallerId> callers; // empty: anyone
 };
 
 // How the team wants new versions of a service to be introduced.
 struct NewVersionAnswers {
-    base::PerMille mostTrialShare { 50 };
-    Badness bad;
+    base::PerMille maxTrialShare { 50 };
+    RegressionThresholds thresholds;
 };
 
 struct ServiceAnswers {
@@ -36,7 +36,7 @@
     base::UpstreamVersion firstVersion; // has the traffic before the first rollout; empty: any announced version has
     std::vector<base::ServiceName> dependsOn;
     int slots = 10;
-    int mostConnections = 100;
+    int maxConnections = 100;
     base::PerMille retryBudget { 100 };
     NewVersionAnswers newVersions;
     std::vector<RouteAnswers> routes;
@@ -44,17 +44,17 @@
 
 struct Answers {
     std::string name; // of the deployment or team; a later submission under the same name replaces the earlier one
-    Weighing weighing = Weighing::SpeedAndTakeBack;
+    OptimizationGoal goal = OptimizationGoal::SpeedAndRollback;
     std::vector<base::CallerId> callers; // the kinds of callers that routes may name
     std::vector<ServiceAnswers> services; // empty: the team leaves
 };
 
 // Names appear in URLs, file names, log lines and headers: letters, digits, '.', '_' and '-'.
-constexpr size_t mostNameBytes = 64;
+constexpr size_t maxNameBytes = 64;
 bool nameIsValid(const std::string&);
 
 // One submission must fit into one entry of the replicated log. 320 services with three routes each take 250 KB.
-constexpr size_t mostAnswersBytes = 1024 * 1024;
+constexpr size_t maxAnswersBytes = 1024 * 1024;
 
 // `file` is for messages. AnswersInvalid names the file, the path in it and what was expected.
 base::Result<Answers> readAnswers(const base::JsonValue&, const std::string& file);
--- a/src/appletally/config/state_codec.cpp
+++ b/src/appletally/config/state_codec.cpp
@@ -14,8 +14,8 @@
 namespace {
 
     // 1 MB of answers for each of a few teams, the outcomes and the history.
-    constexpr size_t mostStateBytes = 64 * 1024 * 1024;
-    constexpr size_t mostTextBytes = 64 * 1024;
+    constexpr size_t maxStateBytes = 64 * 1024 * 1024;
+    constexpr size_t maxTextBytes = 64 * 1024;
 
     uint64_t readNumber(JsonReader& it, const std::string& key) { return static_cast<uint64_t>(it.integer(key, 0, INT64_MAX)); }
     base::WallTime readTime(JsonReader& it, const std::string& key) { return { it.integer(key, INT64_MIN, INT64_MAX) }; }
@@ -35,7 +35,7 @@
     {
         TeamRecord out;
         const std::string name = it.text("name");
-        out.bytes = it.text("bytes", mostAnswersBytes);
+        out.bytes = it.text("bytes", maxAnswersBytes);
         out.changedAt.value = readNumber(it, "changed_at");
         out.changedBy.text = it.text("changed_by");
         out.changedNumber.value = readNumber(it, "changed_number");
@@ -48,7 +48,7 @@
         return out;
     }
 
-    Json toJson(const base::RequestNumber& number, const KeptOutcome& it)
+    Json toJson(const base::RequestNumber& number, const StoredOutcome& it)
     {
         Json out = { { "number", number.value }, { "hash_high", it.hash >> 32 }, { "hash_low", it.hash & UINT32_MAX },
             { "code", static_cast<uint16_t>(it.outcome.code) }, { "version", it.outcome.version.value } };
@@ -58,14 +58,14 @@
         return out;
     }
 
-    KeptOutcome readOutcome(JsonReader& it)
+    StoredOutcome readOutcome(JsonReader& it)
     {
-        KeptOutcome out;
+        StoredOutcome out;
         const auto high = static_cast<uint64_t>(it.integer("hash_high", 0, UINT32_MAX));
         out.hash = high << 32 | static_cast<uint64_t>(it.integer("hash_low", 0, UINT32_MAX));
         out.outcome.code = static_cast<base::Code>(it.integer("code", 0, UINT16_MAX));
         out.outcome.version.value = readNumber(it, "version");
-        out.outcome.text = it.text("text", "", mostTextBytes);
+        out.outcome.text = it.text("text", "", maxTextBytes);
         out.outcome.rollout.text = it.text("rollout", "");
         out.outcome.winner.text = it.text("winner", "");
         return out;
@@ -94,7 +94,7 @@
 
     Json toJson(const VersionRecord& it)
     {
-        return { { "version", it.version.value }, { "at", it.at.ms }, { "by", it.by }, { "what", it.what }, { "differences", it.differences } };
+        return { { "version", it.version.value }, { "at", it.at.ms }, { "by", it.by }, { "what", it.summary }, { "differences", it.differences } };
     }
 
     VersionRecord readVersion(JsonReader& it)
@@ -103,7 +103,7 @@
         out.version.value = readNumber(it, "version");
         out.at = readTime(it, "at");
         out.by = it.text("by");
-        out.what = it.text("what");
+        out.summary = it.text("what");
         out.differences = it.texts("differences");
         it.finish();
         return out;
@@ -113,7 +113,7 @@
     {
         Json out = { { "rollout", toJson(it.rollout) }, { "end", static_cast<int>(it.end) }, { "by", it.by }, { "started_in", it.startedIn.value },
             { "ended_in", it.endedIn.value }, { "started_at", it.startedAt.ms }, { "ended_at", it.endedAt.ms } };
-        putText(out, "why", it.why);
+        putText(out, "why", it.reason);
         return out;
     }
 
@@ -123,7 +123,7 @@
         out.rollout = readRollout(it.object("rollout"));
         out.end = static_cast<RolloutEnd>(it.integer("end", 0, static_cast<int64_t>(RolloutEnd::Stopped)));
         out.by = it.text("by");
-        out.why = it.text("why", "", mostTextBytes);
+        out.reason = it.text("why", "", maxTextBytes);
         out.startedIn.value = readNumber(it, "started_in");
         out.endedIn.value = readNumber(it, "ended_in");
         out.startedAt = readTime(it, "started_at");
@@ -135,7 +135,7 @@
     Json toJson(const base::RolloutId& id, const RunningRollout& it)
     {
         return { { "id", id.text }, { "started_in", it.startedIn.value }, { "started_at", it.startedAt.ms }, { "started_by", it.startedBy.text },
-            { "shared_at", it.sharedAt.ms } };
+            { "shared_at", it.shareSetAt.ms } };
     }
 
     RunningRollout readRunning(JsonReader& it)
@@ -144,7 +144,7 @@
         out.startedIn.value = readNumber(it, "started_in");
         out.startedAt = readTime(it, "started_at");
         out.startedBy.text = it.text("started_by");
-        out.sharedAt = it.has("shared_at") ? readTime(it, "shared_at") : out.startedAt;
+        out.shareSetAt = it.has("shared_at") ? readTime(it, "shared_at") : out.startedAt;
         return out;
     }
 
@@ -154,7 +154,7 @@
         for (const auto& [service, version] : state.traffic) {
             Json entry = { { "service", service.text } };
             putText(entry, "version", version.text);
-            if (const auto before = state.trafficBefore.find(service); before != state.trafficBefore.end())
+            if (const auto before = state.previousTraffic.find(service); before != state.previousTraffic.end())
                 putText(entry, "before", before->second.text);
             out.push_back(entry);
         }
@@ -221,7 +221,7 @@
         std::map<Name, std::string> out;
         for (JsonReader& it : top.objects(key)) {
             const Name name { it.text("name") };
-            out[name] = it.text("text", mostStateBytes);
+            out[name] = it.text("text", maxStateBytes);
             it.finish();
         }
         return out;
@@ -237,7 +237,7 @@
         out.texts.services = readTexts<base::ServiceName>(top, "services");
         for (JsonReader& it : top.objects("others")) {
             const std::string name = it.text("name");
-            out.texts.others[name] = it.text("text", mostStateBytes);
+            out.texts.others[name] = it.text("text", maxStateBytes);
             it.finish();
         }
         top.finish();
@@ -257,7 +257,7 @@
             const base::ServiceName service { it.text("service") };
             out.traffic[service] = { it.text("version", "") };
             if (it.has("before"))
-                out.trafficBefore[service] = { it.text("before") };
+                out.previousTraffic[service] = { it.text("before") };
             it.finish();
         }
         for (JsonReader& it : top.objects("running")) {
@@ -301,7 +301,7 @@
 
 base::Result<State> decodeState(std::string_view bytes)
 {
-    auto plain = decompress(bytes, mostStateBytes);
+    auto plain = decompress(bytes, maxStateBytes);
     if (!plain)
         return plain.error();
     auto json = base::parseJson(plain.value());
@@ -311,7 +311,7 @@
     JsonReader top(json.value(), "state", problem);
     State out;
     out.applied.value = readNumber(top, "applied");
-    auto snapshot = decodeSnapshot(top.text("snapshot", mostSnapshotBytes));
+    auto snapshot = decodeSnapshot(top.text("snapshot", maxSnapshotBytes));
     readParts(top, out, problem);
     top.finish();
     if (problem.first)
--- a/src/appletally/config/state_machine.cpp
+++ b/src/appletally/config/state_machine.cpp
@@ -21,7 +21,7 @@
     struct Candidate {
         Snapshot snapshot;
         std::map<base::ServiceName, base::UpstreamVersion> traffic;
-        std::map<base::ServiceName, base::UpstreamVersion> trafficBefore;
+        std::map<base::ServiceName, base::UpstreamVersion> previousTraffic;
     };
 
     Outcome refuse(const State& state, Code code, std::string text, OperatorId winner = {})
@@ -37,15 +37,15 @@
             service.versions.clear();
             if (it != candidate.traffic.end() && !it->second.empty())
                 service.versions = { { it->second, { 1000 } } };
-            const auto before = candidate.trafficBefore.find(name);
-            service.standIn = before != candidate.trafficBefore.end() ? before->second : base::UpstreamVersion {};
+            const auto before = candidate.previousTraffic.find(name);
+            service.fallbackVersion = before != candidate.previousTraffic.end() ? before->second : base::UpstreamVersion {};
         }
         for (const auto& [id, rollout] : candidate.snapshot.rollouts) {
             const auto it = candidate.snapshot.services.find(rollout.service);
             if (it == candidate.snapshot.services.end())
                 continue;
             it->second.versions = { { rollout.from, { 1000 - rollout.share.value } }, { rollout.to, rollout.share } };
-            it->second.standIn = rollout.from;
+            it->second.fallbackVersion = rollout.from;
         }
     }
 
@@ -53,10 +53,10 @@
     {
         const auto isGone = [&](const auto& it) { return !candidate.snapshot.services.contains(it.first); };
         std::erase_if(candidate.traffic, isGone);
-        std::erase_if(candidate.trafficBefore, isGone);
+        std::erase_if(candidate.previousTraffic, isGone);
     }
 
-    Candidate startFrom(const State& state) { return { state.snapshot, state.traffic, state.trafficBefore }; }
+    Candidate startFrom(const State& state) { return { state.snapshot, state.traffic, state.previousTraffic }; }
 
     struct Change {
         base::LogIndex index;
@@ -66,9 +66,9 @@
     };
 
     template <typename T>
-    void boundHistory(std::deque<T>& history, size_t most)
+    void boundHistory(std::deque<T>& history, size_t maxSize)
     {
-        while (history.size() > most)
+        while (history.size() > maxSize)
             history.pop_front();
     }
 
@@ -78,16 +78,16 @@
         layShares(candidate);
         if (auto checked = validate(candidate.snapshot); !checked)
             return refuse(state, checked.error().code, checked.error().text);
-        std::vector<std::string> lines = describeDifference(state.snapshot, candidate.snapshot, mostDifferences);
+        std::vector<std::string> lines = describeDifference(state.snapshot, candidate.snapshot, maxDifferences);
         for (std::string& line : lines)
-            line.resize(std::min(line.size(), mostDifferenceBytes));
+            line.resize(std::min(line.size(), maxDifferenceBytes));
         candidate.snapshot.sum = sumAfter(state.snapshot, candidate.snapshot);
         candidate.snapshot.version = { change.index.value };
         state.snapshot = std::move(candidate.snapshot);
         state.traffic = std::move(candidate.traffic);
-        state.trafficBefore = std::move(candidate.trafficBefore);
+        state.previousTraffic = std::move(candidate.previousTraffic);
         state.versions.push_back({ state.snapshot.version, change.at, change.by, change.what, std::move(lines) });
-        boundHistory(state.versions, keptVersions);
+        boundHistory(state.versions, maxVersionRecords);
         return { Code::Ok, "", state.snapshot.version, {}, {} };
     }
 
@@ -174,7 +174,7 @@
             return kept.error();
         out.snapshot.services = std::move(generated.value().services);
         out.snapshot.routes = std::move(generated.value().routes);
-        out.snapshot.pace = generated.value().pace;
+        out.snapshot.timing = generated.value().timing;
         if (auto taken = takeOverTraffic(state, answers, before, out); !taken)
             return taken.error();
         return out;
@@ -200,7 +200,7 @@
             if (auto conflict = checkConflict(state, *team, command.request))
                 return *conflict;
         }
-        if (bytesOfOthers(state, name) + command.answers.size() > mostAnswersBytesOfAll)
+        if (bytesOfOthers(state, name) + command.answers.size() > maxAnswersBytesOfAllTeams)
             return refuse(state, Code::AnswersInvalid, "the answers of all teams together take too many bytes");
         auto candidate = generateWith(state, answers.value(), team);
         if (!candidate)
@@ -250,7 +250,7 @@
         if (from.empty())
             from = command.from;
         const base::RolloutId id { command.service.text + "-" + std::to_string(index.value) };
-        candidate.snapshot.rollouts[id] = { id, command.service, from, command.to, { 0 }, wanted.mostTrialShare, command.completeBy, wanted.bad };
+        candidate.snapshot.rollouts[id] = { id, command.service, from, command.to, { 0 }, wanted.maxTrialShare, command.completeBy, wanted.thresholds };
         Outcome out = commit(state, std::move(candidate), { index, command.request.at, command.request.by.text, "rollout " + id.text + " started" });
         if (out.code != Code::Ok)
             return out;
@@ -264,7 +264,7 @@
     struct Ending {
         RolloutEnd end;
         std::string by;
-        std::string why;
+        std::string reason;
         base::WallTime at;
     };
 
@@ -275,7 +275,7 @@
         candidate.snapshot.rollouts.erase(id);
         candidate.traffic[rollout.service] = ending.end == RolloutEnd::Completed ? rollout.to : rollout.from;
         if (ending.end == RolloutEnd::Completed)
-            candidate.trafficBefore[rollout.service] = rollout.from;
+            candidate.previousTraffic[rollout.service] = rollout.from;
         Outcome out = commit(state, std::move(candidate), { index, ending.at, ending.by, "rollout " + id.text + " " + endName(ending.end) });
         if (out.code != Code::Ok)
             return out;
@@ -283,8 +283,8 @@
         Rollout ended = rollout;
         if (ending.end == RolloutEnd::Completed)
             ended.share = { 1000 };
-        state.ended.push_back({ ended, ending.end, ending.by, ending.why, run.startedIn, out.version, run.startedAt, ending.at });
-        boundHistory(state.ended, keptRollouts);
+        state.ended.push_back({ ended, ending.end, ending.by, ending.reason, run.startedIn, out.version, run.startedAt, ending.at });
+        boundHistory(state.ended, maxRolloutRecords);
         state.running.erase(id);
         out.rollout = id;
         return out;
@@ -307,7 +307,7 @@
         if (auto refused = checkRuns(state, command.rollout))
             return *refused;
         const base::ServiceName service = state.snapshot.rollouts.at(command.rollout).service;
-        Outcome out = endRollout(state, index, command.rollout, { RolloutEnd::Stopped, command.request.by.text, command.why, command.request.at });
+        Outcome out = endRollout(state, index, command.rollout, { RolloutEnd::Stopped, command.request.by.text, command.reason, command.request.at });
         if (out.code == Code::Ok)
             markChanged(*teamOf(state, service), command.request, out.version);
         return out;
@@ -331,26 +331,26 @@
             return { Code::Ok, "nothing changes", state.snapshot.version, command.rollout, {} };
         Candidate candidate = startFrom(state);
         candidate.snapshot.rollouts.at(command.rollout).share = command.to;
-        const std::string what = "rollout " + command.rollout.text + " at " + std::to_string(command.to.value) + " per mille" + (command.why.empty() ? "" : ": " + command.why);
+        const std::string what = "rollout " + command.rollout.text + " at " + std::to_string(command.to.value) + " per mille" + (command.reason.empty() ? "" : ": " + command.reason);
         Outcome out = commit(state, std::move(candidate), { index, command.at, byControl, what });
         if (out.code == Code::Ok)
-            state.running.at(command.rollout).sharedAt = command.at;
+            state.running.at(command.rollout).shareSetAt = command.at;
         out.rollout = command.rollout;
         return out;
     }
 
-    Outcome run(State& state, base::LogIndex index, const TakeBack& command)
+    Outcome run(State& state, base::LogIndex index, const RollBackRollout& command)
     {
         if (auto refused = checkRuns(state, command.rollout))
             return *refused;
-        return endRollout(state, index, command.rollout, { RolloutEnd::TakenBack, byControl, command.why, command.at });
+        return endRollout(state, index, command.rollout, { RolloutEnd::RolledBack, byControl, command.reason, command.at });
     }
 
     Outcome run(State& state, base::LogIndex index, const CompleteRollout& command)
     {
         if (auto refused = checkShare(state, command.rollout, command.from))
             return *refused;
-        return endRollout(state, index, command.rollout, { RolloutEnd::Completed, byControl, command.why, command.at });
+        return endRollout(state, index, command.rollout, { RolloutEnd::Completed, byControl, command.reason, command.at });
     }
 
     Outcome run(State& state, base::LogIndex index, const SetKeepers& command)
@@ -418,12 +418,12 @@
     void keepDocumentRecord(DocumentRecord& record, const SubmitDocument& command)
     {
         const DocumentChange& change = command.change;
-        keepTexts<base::RouteName, DocumentRoute>(record.texts.routes, change.goneRoutes, change.routes, [](const DocumentRoute& it) -> const base::RouteName& { return it.route.name; });
-        keepTexts<base::ServiceName, DocumentService>(record.texts.services, change.goneServices, change.services, [](const DocumentService& it) -> const base::ServiceName& { return it.service.name; });
+        keepTexts<base::RouteName, DocumentRoute>(record.texts.routes, change.removedRoutes, change.routes, [](const DocumentRoute& it) -> const base::RouteName& { return it.route.name; });
+        keepTexts<base::ServiceName, DocumentService>(record.texts.services, change.removedServices, change.services, [](const DocumentService& it) -> const base::ServiceName& { return it.service.name; });
         record.texts.others = change.others;
         record.current = command.id;
         record.accepted.push_back(command.id);
-        boundHistory(record.accepted, keptDocuments);
+        boundHistory(record.accepted, maxDocumentIds);
     }
 
     // A rollout of a service that a document takes out has nothing left to move.
@@ -434,7 +434,7 @@
             Rollout ended;
             ended.id = id;
             state.ended.push_back({ ended, RolloutEnd::Stopped, "document", "its service was taken out", run.startedIn, out.version, run.startedAt, at });
-            boundHistory(state.ended, keptRollouts);
+            boundHistory(state.ended, maxRolloutRecords);
             state.running.erase(id);
         }
     }
@@ -451,7 +451,7 @@
         for (const DocumentService& it : command.change.services)
             services.push_back(it.service);
         const DocumentTexts& owned = state.document.texts;
-        if (!replaceParts(owned.routes, candidate.snapshot.routes, command.change.goneRoutes, routes) || !replaceParts(owned.services, candidate.snapshot.services, command.change.goneServices, services))
+        if (!replaceParts(owned.routes, candidate.snapshot.routes, command.change.removedRoutes, routes) || !replaceParts(owned.services, candidate.snapshot.services, command.change.removedServices, services))
             return refuse(state, Code::AnswersInvalid, "a name of the document belongs to a team's answers");
         candidate.snapshot.callerLimits = command.change.limits;
         std::vector<base::RolloutId> orphans;
@@ -502,7 +502,7 @@
         if (from == command.to)
             return refuse(state, Code::RolloutConflict, "version " + command.to.text + " has the traffic already");
         const base::RolloutId id { command.service.text + "-" + std::to_string(index.value) };
-        Rollout rollout { id, command.service, from, command.to, { 0 }, Rollout {}.mostTrialShare, { command.at.ms + command.within.ms }, {} };
+        Rollout rollout { id, command.service, from, command.to, { 0 }, Rollout {}.maxTrialShare, { command.at.ms + command.within.ms }, {} };
         candidate.snapshot.rollouts[id] = rollout;
         Outcome out = commit(state, std::move(candidate), { index, command.at, "operator", "rollout " + id.text + " started" });
         if (out.code != Code::Ok)
@@ -523,7 +523,7 @@
         std::optional<Outcome> out = isStop ? std::nullopt : checkBase(state, request);
         if (!out)
             out = std::visit([&](const auto& it) { return run(state, index, it); }, command);
-        out->text = boundedText(out->text);
+        out->text = sanitizedText(out->text);
         keepOutcome(state, request, hash, *out);
         return *out;
     }
--- a/src/appletally/config/state_machine.h
+++ b/src/appletally/config/state_machine.h
@@ -27,21 +27,21 @@
     bool operator==(const Outcome&) const = default;
 };
 
-struct KeptOutcome {
+struct StoredOutcome {
     uint64_t hash = 0; // requestHash()
     Outcome outcome;
-    bool operator==(const KeptOutcome&) const = default;
+    bool operator==(const StoredOutcome&) const = default;
 };
 
 // The rule of what is kept: the outcomes of each operator's last 32 numbers, for the 256 operators that asked last.
 // An accepted change never happens twice for being forgotten: a number at or below an operator's forgotten ones is
 // refused as reused, and a request of a forgotten operator conflicts with its own first acceptance, which changed its
 // team after the base version that it names.
-constexpr size_t keptOutcomesOfOperator = 32; // ctl sends one request at a time; scripts a handful
-constexpr size_t keptOperators = 256;
+constexpr size_t maxOutcomesPerOperator = 32; // ctl sends one request at a time; scripts a handful
+constexpr size_t maxOperators = 256;
 
 struct OperatorRecord {
-    std::map<base::RequestNumber, KeptOutcome> outcomes;
+    std::map<base::RequestNumber, StoredOutcome> outcomes;
     base::RequestNumber forgotten; // highest number whose outcome was dropped; 0: none
     base::LogIndex last; // of the last request, to choose whom to forget
     bool operator==(const OperatorRecord&) const = default;
@@ -60,14 +60,14 @@
     base::ConfigVersion version;
     base::WallTime at;
     std::string by; // an operator, or "control"
-    std::string what; // "answers of berthgrid", "rollout plug-control-17 started"
+    std::string summary; // "answers of berthgrid", "rollout plug-control-17 started"
     std::vector<std::string> differences; // describeDifference(), cut to mostDifferences
     bool operator==(const VersionRecord&) const = default;
 };
 
 enum class RolloutEnd : uint8_t {
     Completed,
-    TakenBack,
+    RolledBack,
     Stopped, // by an operator
 };
 
@@ -75,7 +75,7 @@
     Rollout rollout; // as it was when it ended
     RolloutEnd end = RolloutEnd::Completed;
     std::string by;
-    std::string why;
+    std::string reason;
     base::ConfigVersion startedIn;
     base::ConfigVersion endedIn;
     base::WallTime startedAt;
@@ -84,17 +84,17 @@
 };
 
 // 3,300 changes a day at the largest size: the last hours; older ones are in the log of whoever wants them longer.
-constexpr size_t keptVersions = 500;
-constexpr size_t keptRollouts = 500;
-constexpr size_t mostDifferences = 20;
-constexpr size_t mostDifferenceBytes = 300;
-constexpr size_t mostAnswersBytesOfAll = 16 * mostAnswersBytes; // bounds the log's snapshots
+constexpr size_t maxVersionRecords = 500;
+constexpr size_t maxRolloutRecords = 500;
+constexpr size_t maxDifferences = 20;
+constexpr size_t maxDifferenceBytes = 300;
+constexpr size_t maxAnswersBytesOfAllTeams = 16 * maxAnswersBytes; // bounds the log's snapshots
 
 struct RunningRollout {
     base::ConfigVersion startedIn;
     base::WallTime startedAt;
     base::OperatorId startedBy;
-    base::WallTime sharedAt; // since when its share is what it is; a new leader holds it no longer than the one before
+    base::WallTime shareSetAt; // since when its share is what it is; a new leader holds it no longer than the one before
     bool operator==(const RunningRollout&) const = default;
 };
 
@@ -103,7 +103,7 @@
     Snapshot snapshot; // in force; its version is that of the last entry that changed it
     std::map<std::string, TeamRecord> teams;
     std::map<base::ServiceName, base::UpstreamVersion> traffic; // who has it where no rollout runs
-    std::map<base::ServiceName, base::UpstreamVersion> trafficBefore; // who had it until the last rollout that completed; keys are among those of traffic
+    std::map<base::ServiceName, base::UpstreamVersion> previousTraffic; // who had it until the last rollout that completed; keys are among those of traffic
     std::map<base::RolloutId, RunningRollout> running; // keys equal those of snapshot.rollouts
     std::map<base::OperatorId, OperatorRecord> operators;
     std::deque<VersionRecord> versions; // oldest first
@@ -118,7 +118,7 @@
 Outcome apply(State&, base::LogIndex index, std::string_view commandBytes); // MessageMalformed where they cannot be read
 
 // The kept outcome, without a look at the log: for a replica that has caught up (read index). Null: none kept.
-const KeptOutcome* findOutcome(const State&, const base::OperatorId&, base::RequestNumber);
+const StoredOutcome* findOutcome(const State&, const base::OperatorId&, base::RequestNumber);
 
 const char* endName(RolloutEnd); // "completed", "taken back", "stopped"
 
--- a/src/appletally/control/changes.cpp
+++ b/src/appletally/control/changes.cpp
@@ -48,7 +48,7 @@
     const config::OperatorRequest* request = config::requestOf(command.value());
     if (!request)
         return refusal(base::fail(base::Code::MessageMalformed, "not an operator's change"));
-    const config::KeptOutcome* kept = config::findOutcome(m_state, request->by, request->number);
+    const config::StoredOutcome* kept = config::findOutcome(m_state, request->by, request->number);
     if (kept && kept->hash == config::requestHash(command.value()))
         return fromOutcome(kept->outcome);
     if (!m_leading && forwarded)
@@ -123,7 +123,7 @@
 {
     nlohmann::json out = nlohmann::json::array();
     for (const config::VersionRecord& it : state.versions)
-        out.push_back({ { "version", it.version.value }, { "at_ms", it.at.ms }, { "by", it.by }, { "what", it.what }, { "differences", it.differences } });
+        out.push_back({ { "version", it.version.value }, { "at_ms", it.at.ms }, { "by", it.by }, { "what", it.summary }, { "differences", it.differences } });
     return out;
 }
 
@@ -131,7 +131,7 @@
 {
     nlohmann::json out = nlohmann::json::array();
     for (const config::RolloutRecord& it : state.ended)
-        out.push_back({ { "rollout", config::toJson(it.rollout) }, { "state", config::endName(it.end) }, { "by", it.by }, { "why", it.why },
+        out.push_back({ { "rollout", config::toJson(it.rollout) }, { "state", config::endName(it.end) }, { "by", it.by }, { "why", it.reason },
             { "started_at_ms", it.startedAt.ms }, { "ended_at_ms", it.endedAt.ms }, { "ended_in", it.endedIn.value } });
     for (const auto& [id, it] : state.snapshot.rollouts)
         out.push_back({ { "rollout", config::toJson(it) }, { "state", "running" }, { "started_at_ms", state.running.at(id).startedAt.ms } });
@@ -184,7 +184,7 @@
     nlohmann::json endpoints = nlohmann::json::array();
     for (const auto& [host, it] : m_endpoints.entries)
         endpoints.push_back({ { "host", host.text }, { "service", it.endpoint.service.text }, { "version", it.endpoint.version.text }, { "zone", it.endpoint.zone.text },
-            { "address", it.endpoint.inner.text() }, { "slots", it.endpoint.slots }, { "state", it.ranOut ? "expired" : config::stateName(it.endpoint.state) } });
+            { "address", it.endpoint.inner.text() }, { "slots", it.endpoint.slots }, { "state", it.expired ? "expired" : config::stateName(it.endpoint.state) } });
     nlohmann::json nodes = nlohmann::json::object();
     for (const auto& [host, it] : m_convergence.nodes)
         nodes[host.text] = it.version.value;
--- a/src/appletally/control/distributor.cpp
+++ b/src/appletally/control/distributor.cpp
@@ -32,7 +32,7 @@
     constexpr size_t keptBatches = 64;
 
     // Below this a frame of zstd saves nothing.
-    constexpr size_t worthCompressing = 256;
+    constexpr size_t minCompressedBytes = 256;
 
     // Records in one message. At about 120 bytes each it stays far under the limit of a message.
     constexpr size_t mostRecords = 2000;
@@ -177,7 +177,7 @@
     if (m_scheduled)
         return;
     m_scheduled = true;
-    const base::Duration wait = m_limits.batching && m_content ? m_content->pace.batch : base::Duration {};
+    const base::Duration wait = m_limits.batching && m_content ? m_content->timing.batch : base::Duration {};
     m_tasks.add(m_timer.afterDelay(wait.ms * kj::MILLISECONDS).then([this] {
         m_scheduled = false;
         for (auto& [id, it] : m_subscribers)
@@ -271,7 +271,7 @@
     out.delta = config::changesSince(m_endpoints, cursor, nullptr, mostRecords);
     out.records = out.delta.endpoints.size();
     out.bytes = config::encode(std::exchange(out.delta.endpoints, {}));
-    out.compressed = out.bytes.size() >= worthCompressing;
+    out.compressed = out.bytes.size() >= minCompressedBytes;
     if (out.compressed)
         out.bytes = config::compress(out.bytes);
     return m_batches.emplace(key, std::move(out)).first->second;
@@ -290,7 +290,7 @@
     auto out = ask.initDelta();
     inner::write(out.initFrom(), next.delta.from);
     inner::write(out.initTo(), next.delta.to);
-    out.setWhole(next.delta.whole);
+    out.setWhole(next.delta.restartsList);
     out.setMore(next.delta.more);
     out.setEndpoints(inner::toData(next.bytes));
     out.setCompressed(next.compressed);
--- a/src/appletally/control/duties.cpp
+++ b/src/appletally/control/duties.cpp
@@ -85,7 +85,7 @@
     }
     std::erase_if(m_own.endpoints, [&](const auto& entry) {
         auto it = m_endpoints.entries.find(entry.first);
-        return it == m_endpoints.entries.end() || it->second.ranOut;
+        return it == m_endpoints.entries.end() || it->second.expired;
     });
     std::erase_if(m_own.evidence, [&](const auto& entry) { return !m_endpoints.entries.contains(std::get<0>(entry.first)); });
     std::erase_if(m_all.evidence, [&](const auto& entry) { return !m_endpoints.entries.contains(std::get<0>(entry.first)); });
--- a/src/appletally/control/keeper_choice.cpp
+++ b/src/appletally/control/keeper_choice.cpp
@@ -21,7 +21,7 @@
     {
         std::map<base::ZoneName, Hosts> out;
         for (const auto& [host, it] : endpoints.entries) {
-            if (!it.ranOut && it.endpoint.state == config::EndpointState::Ready)
+            if (!it.expired && it.endpoint.state == config::EndpointState::Ready)
                 out[it.endpoint.zone][host] = { host, it.endpoint.inner };
         }
         return out;
--- a/src/appletally/control/metrics.cpp
+++ b/src/appletally/control/metrics.cpp
@@ -22,7 +22,7 @@
             return false;
         const auto runs = [&](const base::UpstreamVersion& it) { return !it.empty() && versions->second.contains(it); };
         const auto takesTraffic = [&](const config::VersionShare& it) { return it.share.value > 0 && runs(it.version); };
-        return service.versions.empty() || runs(service.standIn) || std::any_of(service.versions.begin(), service.versions.end(), takesTraffic);
+        return service.versions.empty() || runs(service.fallbackVersion) || std::any_of(service.versions.begin(), service.versions.end(), takesTraffic);
     }
 
     void writeServiceMetrics(base::MetricsText& out, const config::Snapshot& snapshot, const ReadyByService& ready)
--- a/src/appletally/control/process.cpp
+++ b/src/appletally/control/process.cpp
@@ -274,9 +274,9 @@
             continue;
         const config::RolloutRecord& record = m_state.ended.back();
         const bool completed = record.end == config::RolloutEnd::Completed;
-        const bool takenBack = record.end == config::RolloutEnd::TakenBack;
+        const bool takenBack = record.end == config::RolloutEnd::RolledBack;
         const base::Event event = completed ? base::Event::RolloutCompleted : (takenBack ? base::Event::RolloutTakenBack : base::Event::RolloutStopped);
-        base::logEvent(event, id.text + ": " + record.why + "; " + describeReady(it));
+        base::logEvent(event, id.text + ": " + record.reason + "; " + describeReady(it));
     }
 }
 
@@ -288,7 +288,7 @@
 
 void ControlProcess::logVersion() const
 {
-    const std::string what = m_state.versions.empty() ? "" : ", " + m_state.versions.back().what;
+    const std::string what = m_state.versions.empty() ? "" : ", " + m_state.versions.back().summary;
     base::logEvent(base::Event::VersionAccepted, "version " + std::to_string(m_state.snapshot.version.value) + what);
 }
 
@@ -386,7 +386,7 @@
     inner::NodeReport out { {}, report.inForce, report.evidence, {} };
     for (const inner::EndpointSign& it : report.endpoints) {
         auto known = m_endpoints.entries.find(it.endpoint.host);
-        const bool same = known != m_endpoints.entries.end() && !known->second.ranOut && known->second.endpoint.incarnation == it.endpoint.incarnation
+        const bool same = known != m_endpoints.entries.end() && !known->second.expired && known->second.endpoint.incarnation == it.endpoint.incarnation
             && known->second.endpoint.sequence == it.endpoint.sequence;
         if (same && it.beat % wholeRecordEvery != 0)
             out.renewals.push_back({ it.endpoint.host, it.endpoint.incarnation, it.endpoint.sequence, it.beat });
--- a/src/appletally/control/report_merge.cpp
+++ b/src/appletally/control/report_merge.cpp
@@ -12,7 +12,7 @@
     }
     for (const config::EndpointRenewal& it : report.renewals) {
         config::EndpointRenewal& known = pending.renewals[it.host];
-        if (std::tuple(it.incarnation, it.sequence, it.beat) >= std::tuple(known.incarnation, known.sequence, known.beat))
+        if (std::tuple(it.incarnation, it.sequence, it.heartbeat) >= std::tuple(known.incarnation, known.sequence, known.heartbeat))
             known = it;
     }
     for (const inner::NodeInForce& it : report.inForce) {
--- a/src/appletally/control/rollout_runner.cpp
+++ b/src/appletally/control/rollout_runner.cpp
@@ -11,7 +11,7 @@
     for (const auto& [id, it] : state.running) {
         if (runner.running.contains(id))
             continue;
-        runner.running.emplace(id, policy::startRollout(policy::rolloutSettings(state.snapshot.pace.weighing), { it.startedAt, it.sharedAt }));
+        runner.running.emplace(id, policy::startRollout(policy::rolloutSettings(state.snapshot.timing.goal), { it.startedAt, it.shareSetAt }));
         onEvidence(runner, state, known);
     }
 }
@@ -37,7 +37,7 @@
     case policy::RolloutAction::Raise:
         return config::SetShare { plan.id, plan.share, step.share, step.why, {} };
     case policy::RolloutAction::TakeBack:
-        return config::TakeBack { plan.id, plan.share, step.why, {} };
+        return config::RollBackRollout { plan.id, plan.share, step.why, {} };
     case policy::RolloutAction::Complete:
         return config::CompleteRollout { plan.id, plan.share, step.why, {} };
     }
@@ -61,7 +61,7 @@
             out.push_back(std::move(*command));
     }
     // Callers of a bad version wait for nothing else.
-    std::stable_partition(out.begin(), out.end(), [](const config::Command& it) { return std::holds_alternative<config::TakeBack>(it); });
+    std::stable_partition(out.begin(), out.end(), [](const config::Command& it) { return std::holds_alternative<config::RollBackRollout>(it); });
     return out;
 }
 
--- a/src/appletally/inner/content.cpp
+++ b/src/appletally/inner/content.cpp
@@ -12,7 +12,7 @@
     return { target.version, from->version, config::compress(config::encode(config::difference(*from, target))) };
 }
 
-base::Result<bool> apply(config::Applied& applied, const ContentPiece& piece)
+base::Result<bool> apply(config::AppliedConfig& applied, const ContentPiece& piece)
 {
     auto plain = config::decompress(piece.bytes);
     if (!plain)
--- a/src/appletally/inner/content.h
+++ b/src/appletally/inner/content.h
@@ -17,6 +17,6 @@
 ContentPiece makePiece(const config::Snapshot& target, const config::Snapshot* from); // null: whole
 
 // Returns whether something new is in force. Errors as in config/applied.h, and MessageMalformed.
-base::Result<bool> apply(config::Applied&, const ContentPiece&);
+base::Result<bool> apply(config::AppliedConfig&, const ContentPiece&);
 
 } // namespace appletally::inner
--- a/src/appletally/inner/rpc_wire.cpp
+++ b/src/appletally/inner/rpc_wire.cpp
@@ -89,7 +89,7 @@
     out.setHost(in.host.text);
     out.setIncarnation(in.incarnation.value);
     out.setSequence(in.sequence.value);
-    out.setBeat(in.beat);
+    out.setBeat(in.heartbeat);
 }
 
 static config::EndpointRenewal read(rpc::Renewal::Reader in)
--- a/src/appletally/inner/source_client.cpp
+++ b/src/appletally/inner/source_client.cpp
@@ -168,7 +168,7 @@
 
 void SourceClient::sourceFailed(size_t source, std::optional<policy::SourceRefusal> told)
 {
-    m_race.sources[source].backoff.urgent = !m_applied.inForce;
+    m_race.sources[source].backoff.urgent = !m_applied.applied;
     policy::tryFailed(m_race, source, told, base::steadyNow(), randomNumber());
     if (++m_failures >= failuresUntilLost)
         setReachable(false);
@@ -214,7 +214,7 @@
             m_evidenceDirty[key] = true;
         sendReport();
         m_linkTasks->add(renewals());
-        return m_applied.floor ? kj::Promise<void>(kj::READY_NOW) : proveBoot();
+        return m_applied.minVersion ? kj::Promise<void>(kj::READY_NOW) : proveBoot();
     });
 }
 
@@ -224,7 +224,7 @@
         if (failed(answer.getFailure()))
             return m_timer.afterDelay(proofPause.ms * kj::MILLISECONDS).then([this] { return proveBoot(); });
         base::logEvent(base::Event::BootVersionProven, "starts at no less than version " + std::to_string(answer.getVersion()));
-        offer(raiseFloor(m_applied, { answer.getVersion() }));
+        offer(raiseMinVersion(m_applied, { answer.getVersion() }));
         return kj::READY_NOW;
     });
 }
@@ -280,13 +280,13 @@
         return;
     dropOldEvidence();
     if (m_hooks.released)
-        m_hooks.released(m_applied.inForce);
+        m_hooks.released(m_applied.applied);
 }
 
 // A new source is told all evidence that is held; of rollouts that are over nobody wants any.
 void SourceClient::dropOldEvidence()
 {
-    const auto isOver = [this](const auto& entry) { return !config::rolloutRuns(*m_applied.inForce, std::get<base::ServiceName>(entry.first)); };
+    const auto isOver = [this](const auto& entry) { return !config::rolloutRuns(*m_applied.applied, std::get<base::ServiceName>(entry.first)); };
     std::erase_if(m_evidence, isOver);
     std::erase_if(m_evidenceDirty, isOver);
 }
@@ -383,11 +383,11 @@
 
 kj::Promise<void> SourceClient::renewals()
 {
-    return m_timer.afterDelay(config::endpointRenewal.ms * kj::MILLISECONDS).then([this] {
+    return m_timer.afterDelay(config::endpointRenewalInterval.ms * kj::MILLISECONDS).then([this] {
         m_endpointsDirty = !m_endpoints.empty();
         m_inForceDirty = m_inForce.has_value();
         sendReport();
-        tellEndpoints(config::dropDoubted(m_mirror, m_linkedSince, base::steadyNow()));
+        tellEndpoints(config::expireUnconfirmed(m_mirror, m_linkedSince, base::steadyNow()));
         return renewals();
     });
 }
@@ -427,7 +427,7 @@
 {
     const SourceClientCounters sum = counters();
     return { { "source", m_link.get() != nullptr ? m_link->address.text() : "" }, { "subscribed", m_subscribed }, { "held", heldVersion(m_applied).value },
-        { "in_force", versionInForce(m_applied).value }, { "floor", m_applied.floor ? nlohmann::json(m_applied.floor->value) : nlohmann::json() }, { "refusal", m_applied.refusal }, { "connects", sum.connects }, { "links", sum.links },
+        { "in_force", appliedVersion(m_applied).value }, { "floor", m_applied.minVersion ? nlohmann::json(m_applied.minVersion->value) : nlohmann::json() }, { "refusal", m_applied.refusal }, { "connects", sum.connects }, { "links", sum.links },
         { "came_back_later", sum.cameBackLater }, { "snapshots", sum.snapshots }, { "deltas", sum.deltas }, { "misfits", sum.misfits }, { "refused", sum.refused },
         { "endpoints", m_mirror.entries.size() }, { "endpoint_misfits", sum.endpointMisfits }, { "bytes_in", sum.bytesIn }, { "bytes_out", sum.bytesOut } };
 }
--- a/src/appletally/inner/source_client.h
+++ b/src/appletally/inner/source_client.h
@@ -65,7 +65,7 @@
     // Says Gone and waits for the answer, at most `bound`.
     kj::Promise<void> leave(base::Duration bound);
 
-    const config::Applied& applied() const { return m_applied; }
+    const config::AppliedConfig& applied() const { return m_applied; }
     nlohmann::json toJson() const;
     SourceClientCounters counters() const; // with the bytes of the open link
     RpcLink* link() { return m_link.get(); } // null: none now
@@ -109,7 +109,7 @@
     bool m_reachable = false;
     std::optional<policy::SourceRefusal> m_refusal; // of the current source
 
-    config::Applied m_applied; // what is held and what is in force; never falls, whatever sources say
+    config::AppliedConfig m_applied; // what is held and what is in force; never falls, whatever sources say
 
     config::EndpointMirror m_mirror;
     base::Time m_linkedSince;
--- a/src/appletally/node/ingress.cpp
+++ b/src/appletally/node/ingress.cpp
@@ -83,7 +83,7 @@
                 it.share.value += std::exchange(freed, 0);
         }
     }
-    policy::setShares(m_routers[service.name], shares, inner::randomNumber(), service.standIn);
+    policy::setShares(m_routers[service.name], shares, inner::randomNumber(), service.fallbackVersion);
 }
 
 void Ingress::stopVersion(const Active& it, const policy::Pick& pick)
--- a/src/appletally/node/ingress_answer.cpp
+++ b/src/appletally/node/ingress_answer.cpp
@@ -232,7 +232,7 @@
     failed.tries = it.tries;
     failed.deadline = it.call.deadline;
     failed.expected = it.route->expected;
-    failed.mostTries = it.route->mostAttempts;
+    failed.mostTries = it.route->maxAttempts;
     const auto decision = policy::mayRetry(m_retries[it.call.service], failed, base::steadyNow(), inner::randomNumber());
     if (!decision.retry) {
         base::Error last = error;
--- a/src/appletally/node/ingress_request.cpp
+++ b/src/appletally/node/ingress_request.cpp
@@ -36,7 +36,7 @@
 size_t Ingress::bodyLimit(const http::CallerRequest& request) const
 {
     const config::Route* route = routeOf(request);
-    return route ? route->mostRequestBody.count : SIZE_MAX; // without a route the listener's own limit holds
+    return route ? route->maxRequestBody.count : SIZE_MAX; // without a route the listener's own limit holds
 }
 
 void Ingress::refuse(http::CallerExchange& exchange, Code code, const std::string& why, Duration retryAfter)
--- a/src/appletally/node/node.cpp
+++ b/src/appletally/node/node.cpp
@@ -152,7 +152,7 @@
     const base::Time now = base::steadyNow();
     base::addStall(m_stalls, base::StallCause::LateTimer, std::max<int64_t>((now - m_tickedAt - tickEvery).ms, 0) * 1000);
     m_tickedAt = now;
-    const Duration every = m_snapshot ? m_snapshot->pace.report : Duration { 200 };
+    const Duration every = m_snapshot ? m_snapshot->timing.report : Duration { 200 };
     if (now - m_reportedAt >= every) {
         m_reportedAt = now;
         std::vector<config::Evidence> evidence = m_owner.takeEvidence();
--- a/src/appletally/policy/local_verdict.cpp
+++ b/src/appletally/policy/local_verdict.cpp
@@ -44,7 +44,7 @@
         addRatios(route.failing, ratiosOf(alternativesFor(rate, 0, grossFailures), answer.failed ? 1 : 0, 1));
     }
 
-    void testLatency(LocalRoute& route, const LocalAnswer& answer, const config::Badness& bad)
+    void testLatency(LocalRoute& route, const LocalAnswer& answer, const config::RegressionThresholds& bad)
     {
         if (!answer.old || answer.old->medianMs <= 0)
             return;
@@ -116,7 +116,7 @@
     });
     verdict.judged = found != snapshot.rollouts.end();
     if (verdict.judged) {
-        verdict.bad = found->second.bad;
+        verdict.bad = found->second.thresholds;
         return;
     }
     verdict.stopped = false;
--- a/src/appletally/policy/local_verdict.h
+++ b/src/appletally/policy/local_verdict.h
@@ -60,7 +60,7 @@
     uint64_t coldFailures = 0;
 
     bool judged = false; // a rollout under way is moving traffic to this version
-    config::Badness bad; // of that rollout
+    config::RegressionThresholds bad; // of that rollout
     bool stopped = false;
     std::string why; // with stopped; for operators
 };
@@ -79,7 +79,7 @@
 // False: refuse at once with Code::VersionTakenBack, before the upstream gets a byte.
 bool mayRun(const LocalVerdict&);
 
-// What to report; counters only grow. Send at most every config::Pace::report, and at once after a stop.
+// What to report; counters only grow. Send at most every config::ControlTiming::report, and at once after a stop.
 std::vector<config::Evidence> reportOf(const LocalVerdict&);
 
 } // namespace appletally::policy
--- a/src/appletally/policy/rollout.cpp
+++ b/src/appletally/policy/rollout.cpp
@@ -40,7 +40,7 @@
         double badness = 0; // that is bad
     };
 
-    Limits limitsOf(BadnessKind kind, const config::Badness& bad)
+    Limits limitsOf(BadnessKind kind, const config::RegressionThresholds& bad)
     {
         const double failures = static_cast<double>(bad.failures.value) / 1000;
         switch (kind) {
@@ -137,7 +137,7 @@
         addLatency(out, slow + 2, route.recent[slow + 2], stretch, history, factor * room * stallFactor);
     }
 
-    StretchBaseline baselineOf(Stream stream, RolloutRoute& route, const Tally& old, const Baseline& past, const config::Badness& bad)
+    StretchBaseline baselineOf(Stream stream, RolloutRoute& route, const Tally& old, const Baseline& past, const config::RegressionThresholds& bad)
     {
         StretchBaseline out;
         if (stream == Stream::All)
@@ -148,7 +148,7 @@
     }
 
     // Fresh answers of one host against the old version's of the same stretch; zero for kinds without a baseline here.
-    std::array<Ratios, badnessKinds> compare(const Tally& fresh, const StretchBaseline& it, const config::Badness& bad)
+    std::array<Ratios, badnessKinds> compare(const Tally& fresh, const StretchBaseline& it, const config::RegressionThresholds& bad)
     {
         std::array<Ratios, badnessKinds> out {};
         for (size_t kind = 0; kind < badnessKinds; ++kind) {
@@ -200,13 +200,13 @@
         const Baseline past = route.baseline;
         decayInto(route.baseline, old, stream);
         const bool begun = past.answers > 0 || stream != Stream::All;
-        const StretchBaseline expected = baselineOf(stream, route, old, begun ? past : route.baseline, plan.bad);
+        const StretchBaseline expected = baselineOf(stream, route, old, begun ? past : route.baseline, plan.thresholds);
         std::array<Ratios, badnessKinds> sum {};
         for (const auto& [key, byIncarnation] : state.book.tallies) {
             if (key.route != name || key.version != plan.to)
                 continue;
             const Tally total = totalOf(state.book, key);
-            const std::array<Ratios, badnessKinds> ratios = compare(total - compared.fresh[key.host], expected, plan.bad);
+            const std::array<Ratios, badnessKinds> ratios = compare(total - compared.fresh[key.host], expected, plan.thresholds);
             compared.fresh[key.host] = total;
             addTo(route.hostTests[key.host], ratios);
             addTo(state.allRoutesByHost[key.host], ratios);
@@ -412,19 +412,19 @@
         state.lastRise = now;
         base::PerMille share = rung->share;
         if (trial)
-            share = std::min(share, std::max(plan.mostTrialShare, base::PerMille { 1 }));
+            share = std::min(share, std::max(plan.maxTrialShare, base::PerMille { 1 }));
         return { RolloutAction::Raise, share, due ? "the schedule asks for it and nothing speaks against it" : "proven on every route" };
     }
 
 } // namespace
 
-RolloutSettings rolloutSettings(config::Weighing weighing)
+RolloutSettings rolloutSettings(config::OptimizationGoal weighing)
 {
     RolloutSettings out;
     out.takeBackScore = 9;
     out.leanScore = 4;
     out.provenAnswers = 200;
-    if (weighing == config::Weighing::SpeedAndTakeBack) {
+    if (weighing == config::OptimizationGoal::SpeedAndRollback) {
         out.ladder = { { { 50 }, 0, 0 }, { { 150 }, 0.2, 0.6 }, { { 400 }, 0.35, 0.75 }, { { 1000 }, 0.5, 0.85 } };
     } else {
         out.ladder = { { { 50 }, 0, 0 }, { { 300 }, 0.1, 0.3 }, { { 1000 }, 0.3, 0.8 } };
--- a/src/appletally/policy/rollout.h
+++ b/src/appletally/policy/rollout.h
@@ -41,7 +41,7 @@
 };
 
 struct RolloutSettings {
-    std::vector<RolloutRung> ladder; // the last has 1000; the first rung's share is capped by the plan's mostTrialShare
+    std::vector<RolloutRung> ladder; // the last has 1000; the first rung's share is capped by the plan's maxTrialShare
     double takeBackScore = 0; // log likelihood ratio at which a version is bad
     double leanScore = 0; // from here on no rise before the last moment
     uint64_t provenAnswers = 0; // warm answers on a route that count as proof, when nothing leans against it
@@ -49,7 +49,7 @@
 };
 
 // The settings of the two kinds of deployment; docs/DESIGN-claims.md derives them.
-RolloutSettings rolloutSettings(config::Weighing);
+RolloutSettings rolloutSettings(config::OptimizationGoal);
 
 enum class RolloutAction : uint8_t {
     Keep,
