--- a/src/appletally/config/outcomes.cpp
+++ b/src/appletally/config/outcomes.cpp
@@ -1,4 +1,4 @@
-// Keeping and forgetting outcomes; the rule stands beside OperatorRecord.
+// Stores and drops outcomes by the rule documented at OperatorRecord.
 #include "appletally/config/outcomes.h"
 
 #include <algorithm>
@@ -14,16 +14,16 @@
         return { code, std::move(text), state.snapshot.version, {}, {} };
     }
 
-    constexpr size_t mostOutcomeBytes = 500;
+    constexpr size_t maxOutcomeBytes = 500;
 
-    void forgetOldestNumber(OperatorRecord& record)
+    void dropOldestNumber(OperatorRecord& record)
     {
         const auto oldest = record.outcomes.begin();
         record.forgotten = std::max(record.forgotten, oldest->first);
         record.outcomes.erase(oldest);
     }
 
-    void forgetOldestOperator(State& state)
+    void dropOldestOperator(State& state)
     {
         const auto earlier = [](const auto& a, const auto& b) { return a.second.last < b.second.last; };
         const auto oldest = std::min_element(state.operators.begin(), state.operators.end(), earlier);
@@ -32,7 +32,7 @@
 
 } // namespace
 
-const KeptOutcome* findOutcome(const State& state, const base::OperatorId& by, base::RequestNumber number)
+const StoredOutcome* findOutcome(const State& state, const base::OperatorId& by, base::RequestNumber number)
 {
     const auto record = state.operators.find(by);
     if (record == state.operators.end())
@@ -41,9 +41,9 @@
     return it == record->second.outcomes.end() ? nullptr : &it->second;
 }
 
-std::optional<Outcome> answerFromTable(const State& state, const OperatorRequest& request, uint64_t hash)
+std::optional<Outcome> findStoredAnswer(const State& state, const OperatorRequest& request, uint64_t hash)
 {
-    if (const KeptOutcome* kept = findOutcome(state, request.by, request.number)) {
+    if (const StoredOutcome* kept = findOutcome(state, request.by, request.number)) {
         if (kept->hash == hash)
             return kept->outcome;
         return refuse(state, Code::RequestNumberReused, "operator " + request.by.text + " used number " + std::to_string(request.number.value) + " for another request");
@@ -61,23 +61,23 @@
     return {};
 }
 
-std::string boundedText(const std::string& text)
+std::string sanitizedText(const std::string& text)
 {
-    std::string out = text.substr(0, mostOutcomeBytes);
+    std::string out = text.substr(0, maxOutcomeBytes);
     std::replace_if(
         out.begin(), out.end(), [](unsigned char c) { return c < ' ' || c > '~'; }, '?');
     return out;
 }
 
-void keepOutcome(State& state, const OperatorRequest& request, uint64_t hash, const Outcome& outcome)
+void storeOutcome(State& state, const OperatorRequest& request, uint64_t hash, const Outcome& outcome)
 {
-    if (!state.operators.contains(request.by) && state.operators.size() >= keptOperators)
-        forgetOldestOperator(state);
+    if (!state.operators.contains(request.by) && state.operators.size() >= maxOperators)
+        dropOldestOperator(state);
     OperatorRecord& record = state.operators[request.by];
     record.last = state.applied;
     record.outcomes[request.number] = { hash, outcome };
-    if (record.outcomes.size() > keptOutcomesOfOperator)
-        forgetOldestNumber(record);
+    if (record.outcomes.size() > maxOutcomesPerOperator)
+        dropOldestNumber(record);
 }
 
 } // namespace appletally::config
--- a/src/appletally/node/ingress_answer.cpp
+++ b/src/appletally/node/ingress_answer.cpp
@@ -232,7 +232,7 @@
     failed.attempts = it.attemptCount;
     failed.deadline = it.call.deadline;
     failed.expected = it.route->expected;
-    failed.maxAttempts = it.route->mostAttempts;
+    failed.maxAttempts = it.route->maxAttempts;
     const auto decision = policy::mayRetry(m_retries[it.call.service], failed, base::steadyNow(), inner::randomNumber());
     if (!decision.retry) {
         base::Error last = error;
--- a/src/appletally/policy/local_version_monitor.cpp
+++ b/src/appletally/policy/local_version_monitor.cpp
@@ -47,7 +47,7 @@
         addRatios(route.failing, ratiosOf(alternativesFor(rate, 0, grossFailures), answer.failed ? 1 : 0, 1));
     }
 
-    void testLatency(LocalRoute& route, const LocalAnswer& answer, const config::Badness& bad)
+    void testLatency(LocalRoute& route, const LocalAnswer& answer, const config::RegressionThresholds& bad)
     {
         if (!answer.old || answer.old->medianMs <= 0)
             return;
@@ -120,7 +120,7 @@
     });
     monitor.monitored = found != snapshot.rollouts.end();
     if (monitor.monitored) {
-        monitor.bad = found->second.bad;
+        monitor.bad = found->second.thresholds;
         return;
     }
     monitor.stopped = false;
--- a/src/appletally/policy/local_version_monitor.h
+++ b/src/appletally/policy/local_version_monitor.h
@@ -61,7 +61,7 @@
     uint64_t coldFailures = 0;
 
     bool monitored = false; // a running rollout is moving traffic to this version
-    config::Badness bad; // of that rollout
+    config::RegressionThresholds bad; // of that rollout
     bool stopped = false;
     std::string reason; // for operators; with `stopped`
 };
--- a/src/appletally/policy/rollout.cpp
+++ b/src/appletally/policy/rollout.cpp
@@ -44,7 +44,7 @@
         double badness = 0; // share beyond the baseline that is a regression
     };
 
-    Limits limitsOf(RegressionKind kind, const config::Badness& bad)
+    Limits limitsOf(RegressionKind kind, const config::RegressionThresholds& bad)
     {
         const double failures = static_cast<double>(bad.failures.value) / 1000;
         switch (kind) {
@@ -141,7 +141,7 @@
         addLatency(out, slow + 2, route.recent[slow + 2], interval, history, factor * allowance * stallFactor);
     }
 
-    IntervalBaseline baselineOf(Stream stream, RolloutRoute& route, const Tally& old, const Baseline& past, const config::Badness& bad)
+    IntervalBaseline baselineOf(Stream stream, RolloutRoute& route, const Tally& old, const Baseline& past, const config::RegressionThresholds& bad)
     {
         IntervalBaseline out;
         if (stream == Stream::All)
@@ -152,7 +152,7 @@
     }
 
     // Compares new answers of one host with the old version's in the same interval; zero for kinds without a baseline.
-    std::array<Ratios, regressionKinds> compare(const Tally& fresh, const IntervalBaseline& it, const config::Badness& bad)
+    std::array<Ratios, regressionKinds> compare(const Tally& fresh, const IntervalBaseline& it, const config::RegressionThresholds& bad)
     {
         std::array<Ratios, regressionKinds> out {};
         for (size_t kind = 0; kind < regressionKinds; ++kind) {
@@ -204,13 +204,13 @@
         const Baseline past = route.baseline;
         decayInto(route.baseline, old, stream);
         const bool begun = past.answers > 0 || stream != Stream::All;
-        const IntervalBaseline expected = baselineOf(stream, route, old, begun ? past : route.baseline, plan.bad);
+        const IntervalBaseline expected = baselineOf(stream, route, old, begun ? past : route.baseline, plan.thresholds);
         std::array<Ratios, regressionKinds> sum {};
         for (const auto& [key, byIncarnation] : state.evidence.tallies) {
             if (key.route != name || key.version != plan.to)
                 continue;
             const Tally total = totalOf(state.evidence, key);
-            const std::array<Ratios, regressionKinds> ratios = compare(total - compared.newByHost[key.host], expected, plan.bad);
+            const std::array<Ratios, regressionKinds> ratios = compare(total - compared.newByHost[key.host], expected, plan.thresholds);
             compared.newByHost[key.host] = total;
             addTo(route.hostTests[key.host], ratios);
             addTo(state.allRoutesByHost[key.host], ratios);
@@ -420,19 +420,19 @@
         state.lastRaise = now;
         base::PerMille share = step->share;
         if (trial)
-            share = std::min(share, std::max(plan.mostTrialShare, base::PerMille { 1 }));
+            share = std::min(share, std::max(plan.maxTrialShare, base::PerMille { 1 }));
         return { RolloutAction::Raise, share, due ? "the step is due and the evidence does not point against the version" : "sufficient evidence on every route" };
     }
 
 } // namespace
 
-RolloutSettings rolloutSettings(config::Weighing weighing)
+RolloutSettings rolloutSettings(config::OptimizationGoal weighing)
 {
     RolloutSettings out;
     out.rollbackScore = 9;
     out.holdScore = 4;
     out.minAnswersToRaise = 200;
-    if (weighing == config::Weighing::SpeedAndTakeBack) {
+    if (weighing == config::OptimizationGoal::SpeedAndRollback) {
         out.steps = { { { 50 }, 0, 0 }, { { 150 }, 0.2, 0.6 }, { { 400 }, 0.35, 0.75 }, { { 1000 }, 0.5, 0.85 } };
     } else {
         out.steps = { { { 50 }, 0, 0 }, { { 300 }, 0.1, 0.3 }, { { 1000 }, 0.3, 0.8 } };
--- a/src/appletally/policy/rollout.h
+++ b/src/appletally/policy/rollout.h
@@ -51,7 +51,7 @@
 };
 
 // Settings for each kind of deployment; derived in docs/DESIGN-claims.md.
-RolloutSettings rolloutSettings(config::Weighing);
+RolloutSettings rolloutSettings(config::OptimizationGoal);
 
 enum class RolloutAction : uint8_t {
     Keep,
